--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -43,11 +43,11 @@
 		reply = wire.BeginReply(reply)
 		for i, rec := range batch.Records {
 			if rec.Hello != nil {
-				s, err := wire.ParseSettings(rec.Hello.Info)
+				s, err := wire.ParseSettings(rec.Hello.Settings)
 				if err != nil {
 					return fmt.Errorf("frame %d: record %d, byte %d: %w", frames, i, rec.Offset, err)
 				}
-				controllers[rec.Controller] = tinbeam.New(s, rec.Hello.Salt)
+				controllers[rec.Controller] = tinbeam.New(s, rec.Hello.Seed)
 				continue
 			}
 			c, known := controllers[rec.Controller]
--- a/cmd/tinbeam/serve.go
+++ b/cmd/tinbeam/serve.go
@@ -57,12 +57,12 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s listens on %s; own number %d of %d, %d classes, %d events known, change log %q\n",
-		c.Name, c.Listen, c.Settings.Index, c.Settings.Replicas, len(c.Settings.Classes), len(c.Known), c.Changelog)
+		c.Name, c.Listen, c.Settings.Index, c.Settings.Replicas, len(c.Settings.Classes), len(c.KnownEvents), c.Changelog)
 	if op.MGCPListen != "" {
 		fmt.Fprintf(out, "mgcp listens on %s for %d gateways\n", op.MGCPListen, len(op.MGCP.Gateways))
 	}
-	if op.Remote != nil {
-		fmt.Fprintf(out, "remote write to %s\n", op.Remote.URL)
+	if op.RemoteWrite != nil {
+		fmt.Fprintf(out, "remote write to %s\n", op.RemoteWrite.URL)
 	}
 	if op.Plugin != nil {
 		fmt.Fprintf(out, "plug-in %s\n", op.Plugin.Path)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -65,7 +65,7 @@
 
 // New opens the sockets and sets all up; nothing is handled before Run.
 func New(cfg *config.Config, op *config.Operator, log *zap.Logger) (*App, error) {
-	a := &App{M: metrics.New(), loop: agent.NewLoop(agent.SystemClock()), log: log, cfg: cfg, remote: op.Remote}
+	a := &App{M: metrics.New(), loop: agent.NewLoop(agent.SystemClock()), log: log, cfg: cfg, remote: op.RemoteWrite}
 	a.ctx, a.end = context.WithCancel(context.Background())
 	var hook agent.Hook
 	if op.Plugin != nil {
@@ -80,8 +80,8 @@
 	most := callersMost(cfg.Sockets)
 	a.callers = platform.NewCallers(a.core, log, cfg.Listen, most*3/4, memory)
 	var err error
-	if cfg.Passed > 0 {
-		a.ln, err = link.Inherit(cfg.Passed, most, unreadMost(memory, most), a.callers.Accept)
+	if cfg.InheritedFD > 0 {
+		a.ln, err = link.Inherit(cfg.InheritedFD, most, unreadMost(memory, most), a.callers.Accept)
 	} else {
 		a.ln, err = link.Listen(cfg.Listen, most, unreadMost(memory, most), a.callers.Accept)
 	}
@@ -144,7 +144,7 @@
 		}
 	}
 	a.fars = platform.NewFars(a.core, a.log, cfg.ConnectTimeout, ready)
-	a.feed = platform.NewFeed(a.core, a.fars, a.log, cfg.Changelog, cfg.Seq, cfg.Known)
+	a.feed = platform.NewFeed(a.core, a.fars, a.log, cfg.Changelog, cfg.KnownSeq, cfg.KnownEvents)
 	if a.udp != nil {
 		front := mgcp.New(a.core, a.log, op.MGCP, cfg.Seed, a.udp.Send)
 		go a.udp.Serve(a.loop, a.M, front.Datagram)
@@ -221,7 +221,7 @@
 // listed is each far end as the events of the start leave it.
 func listed(cfg *config.Config) map[uint32]tinbeam.Entry {
 	list := map[uint32]tinbeam.Entry{}
-	for _, e := range cfg.Known {
+	for _, e := range cfg.KnownEvents {
 		for _, n := range e.Entries {
 			list[n.Switch] = n.Entry
 		}
--- a/internal/app/mixed_test.go
+++ b/internal/app/mixed_test.go
@@ -60,12 +60,12 @@
 // farStandIn answers, refuses, stays silent or answers twice.
 func farStandIn(w *world, c net.Conn) {
 	var mu sync.Mutex
-	say := func(l farend.Line) {
+	say := func(l farend.Message) {
 		mu.Lock()
 		defer mu.Unlock()
 		c.Write(l.Append(nil))
 	}
-	say(farend.Line{Kind: farend.Usage, UID: "1", Meta: map[string]string{"load": "x0:500;x1:500"}})
+	say(farend.Message{Kind: farend.Usage, UID: "1", Meta: map[string]string{"load": "x0:500;x1:500"}})
 	tries := map[string]int{}
 	in := bufio.NewScanner(c)
 	for in.Scan() {
@@ -79,10 +79,10 @@
 		case farend.Launch:
 			w.begin(id, "f1")
 			tries[id]++
-			run := farend.Line{Kind: farend.Running, UID: id, Body: "v=0 far\r\n"}
+			run := farend.Message{Kind: farend.Running, UID: id, Body: "v=0 far\r\n"}
 			over := func(cause int) {
 				w.end(id, "f1")
-				say(farend.Line{Kind: farend.Stop, UID: id, Cause: cause})
+				say(farend.Message{Kind: farend.Stop, UID: id, Cause: cause})
 			}
 			switch fate(id, fmt.Sprint("launch", tries[id]), 6) {
 			case 0:
@@ -101,7 +101,7 @@
 		case farend.Stop:
 			w.end(id, "f1")
 		case farend.Check:
-			say(farend.Line{Kind: farend.Checked, UID: id, Cause: farend.CausePassed})
+			say(farend.Message{Kind: farend.Checked, UID: id, Cause: farend.CheckPassed})
 		}
 	}
 	for id := range tries {
@@ -335,7 +335,7 @@
 			id := m.Get("Call-ID")
 			switch {
 			case m.Method == "BYE":
-				say(m.Answer(200, "OK", ""))
+				say(m.Response(200, "OK", ""))
 			case m.CSeqMethod() == "INVITE" && m.Status >= 200:
 				w.final(id)
 				delete(open, id)
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -17,9 +17,9 @@
 
 // What a frame can be.
 const (
-	Nothing = 0
-	Whole   = 1
-	Changes = 2
+	KeepAlive = 0
+	FullList  = 1
+	Delta     = 2
 )
 
 const (
@@ -28,8 +28,8 @@
 	maxFrame   = 1 << 20 // some 38,000 far ends; a longer claim is no frame
 )
 
-// ErrMalform is a stream that cannot be followed: it has to be opened anew.
-var ErrMalform = errors.New("changelog: malformed frame")
+// ErrMalformed is a stream that cannot be followed: it has to be opened anew.
+var ErrMalformed = errors.New("changelog: malformed frame")
 
 // Event is one numbered event.
 type Event struct {
@@ -44,8 +44,8 @@
 	Addr string // host:port
 }
 
-// Resume is what is written first: the number of the last event held.
-func Resume(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
+// ResumeRequest is what is written first: the number of the last event held.
+func ResumeRequest(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
 
 // Parse reads the first frame of b and tells how many bytes it took; with none whole yet it returns nil, 0.
 func Parse(b []byte) (*Event, int, error) {
@@ -54,20 +54,20 @@
 	}
 	size := int(binary.BigEndian.Uint32(b))
 	if size < frameHead || size > maxFrame {
-		return nil, 0, ErrMalform
+		return nil, 0, ErrMalformed
 	}
 	if len(b) < 4+size {
 		return nil, 0, nil
 	}
 	e := &Event{Seq: binary.BigEndian.Uint64(b[4:]), Kind: int(b[12])}
 	p := b[4+frameHead : 4+size]
-	if e.Kind > Changes || len(p)%recordSize != 0 || e.Kind == Nothing && len(p) > 0 {
-		return nil, 0, ErrMalform
+	if e.Kind > Delta || len(p)%recordSize != 0 || e.Kind == KeepAlive && len(p) > 0 {
+		return nil, 0, ErrMalformed
 	}
 	for ; len(p) > 0; p = p[recordSize:] {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(p[4:8])), binary.BigEndian.Uint16(p[8:]))
 		if p[10] > 2 {
-			return nil, 0, ErrMalform
+			return nil, 0, ErrMalformed
 		}
 		e.Entries = append(e.Entries, Entry{Addr: addr.String(), Entry: tinbeam.Entry{
 			Switch: binary.BigEndian.Uint32(p), Zone: int(p[11]), Place: int(binary.BigEndian.Uint16(p[13:])),
@@ -85,8 +85,8 @@
 	return time.Duration(min(max(ms, 0), most)) * time.Millisecond
 }
 
-// Known reads the events of the configuration; zones are the names in the settings.
-func Known(raw []byte, zones []string) (seq uint64, events []Event, err error) {
+// ParseKnown reads the events of the configuration; zones are the names in the settings.
+func ParseKnown(raw []byte, zones []string) (seq uint64, events []Event, err error) {
 	var k struct {
 		Seq     uint64 `json:"seq"`
 		Results []struct {
@@ -112,9 +112,9 @@
 		return 0, nil, fmt.Errorf("known: %w", err)
 	}
 	for i, r := range k.Results {
-		e := Event{Seq: r.Seq, Kind: Changes}
+		e := Event{Seq: r.Seq, Kind: Delta}
 		if i == 0 || r.Fleet.Reset {
-			e.Kind = Whole
+			e.Kind = FullList
 		}
 		for _, n := range r.Fleet.Instances {
 			id, err := ParseID(n.ID)
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -27,10 +27,10 @@
 func TestFrames(t *testing.T) {
 	b := append(unhex(t, frame), unhex(t, "00000009 000000000000002a 00 0000")...)
 	e, n, err := Parse(b)
-	if err != nil || e.Seq != 42 || e.Kind != Changes || !reflect.DeepEqual(e.Entries, []Entry{entry}) {
+	if err != nil || e.Seq != 42 || e.Kind != Delta || !reflect.DeepEqual(e.Entries, []Entry{entry}) {
 		t.Fatalf("%+v %v", e, err)
 	}
-	if e, k, err := Parse(b[n:]); err != nil || e.Kind != Nothing || k != 13 {
+	if e, k, err := Parse(b[n:]); err != nil || e.Kind != KeepAlive || k != 13 {
 		t.Errorf("%+v %d %v", e, k, err)
 	}
 	for cut := range n {
@@ -44,7 +44,7 @@
 			t.Errorf("%s was read", bad)
 		}
 	}
-	if got := Resume(41); hex.EncodeToString(got) != "0000000000000029" {
+	if got := ResumeRequest(41); hex.EncodeToString(got) != "0000000000000029" {
 		t.Errorf("resume %x", got)
 	}
 }
@@ -53,13 +53,13 @@
 	const text = `{"seq":42,"results":[{"seq":41,"fleet":{"generation":7,"reset":true,"instances":[]}},
 		{"seq":42,"fleet":{"generation":8,"reset":false,"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:2905",
 		"zone":"east","machineType":"std","cell":2,"lifecycle":"leaving","weight":4,"startedAtMs":1700000000000}]}}]}`
-	seq, events, err := Known([]byte(text), []string{"a", "b", "east"})
-	want := []Event{{Seq: 41, Kind: Whole}, {Seq: 42, Kind: Changes, Entries: []Entry{entry}}}
+	seq, events, err := ParseKnown([]byte(text), []string{"a", "b", "east"})
+	want := []Event{{Seq: 41, Kind: FullList}, {Seq: 42, Kind: Delta, Entries: []Entry{entry}}}
 	if err != nil || seq != 42 || !reflect.DeepEqual(events, want) {
 		t.Errorf("%d %+v %v", seq, events, err)
 	}
 	for _, bad := range [][2]string{{"s-00c41f7a", "00c41f7a"}, {"leaving", "asleep"}, {"10.1.0.9:2905", "here"}} {
-		if _, _, err := Known([]byte(strings.Replace(text, bad[0], bad[1], 1)), nil); err == nil {
+		if _, _, err := ParseKnown([]byte(strings.Replace(text, bad[0], bad[1], 1)), nil); err == nil {
 			t.Errorf("%s was read", bad[1])
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,14 +24,14 @@
 type Config struct {
 	Name, Listen, Changelog string
 	Management              string // where operators call; "": nowhere
-	Passed                  int    // the descriptor of the callers' socket, where the platform holds it; 0: it is opened here
+	InheritedFD             int    // the descriptor of the callers' socket, where the platform holds it; 0: it is opened here
 	Seed                    uint64
 	MemoryMB, Sockets       int
 	Settings                tinbeam.Settings
 	Zones                   []string
 	ConnectTimeout          time.Duration
-	Seq                     uint64
-	Known                   []changelog.Event
+	KnownSeq                uint64
+	KnownEvents             []changelog.Event
 
 	doc map[string]any // the file
 }
@@ -195,7 +195,7 @@
 		if err != nil || n < 3 {
 			return nil, fmt.Errorf("BALANCER_PASSED_SOCKET is %q, not the number of a descriptor", v)
 		}
-		c.Passed = n
+		c.InheritedFD = n
 	}
 	if n, err := strconv.ParseUint(f.Seed, 16, 64); err == nil {
 		c.Seed = n
@@ -226,7 +226,7 @@
 	_ = json.Unmarshal(f.Settings, &own) // of another shape, they count as absent
 	c.Zones = own.Zones
 	c.ConnectTimeout = wire.Seconds(min(max(own.Permissions.ConnectTimeout, 0), 60))
-	if c.Seq, c.Known, err = changelog.Known(f.Known, own.Zones); err != nil {
+	if c.KnownSeq, c.KnownEvents, err = changelog.ParseKnown(f.Known, own.Zones); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -71,7 +71,7 @@
 // The files that the README names hold together.
 func TestDeployFiles(t *testing.T) {
 	c, err := Load("../../deploy/config.json")
-	if err != nil || len(c.Settings.Classes) != 3 || len(c.Known[0].Entries) != 2 {
+	if err != nil || len(c.Settings.Classes) != 3 || len(c.KnownEvents[0].Entries) != 2 {
 		t.Fatalf("%+v %v", c, err)
 	}
 	if _, err := LoadOperator("../../deploy/operator.json", c); err != nil {
@@ -92,8 +92,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := o.MGCP.Gateways[0]; g.ID != 0xd001 || !g.Rings || len(g.Lines) != 4 || o.Remote.Every != 15*time.Second {
-		t.Errorf("%+v %+v", g, o.Remote)
+	if g := o.MGCP.Gateways[0]; g.ID != 0xd001 || !g.Rings || len(g.Lines) != 4 || o.RemoteWrite.Every != 15*time.Second {
+		t.Errorf("%+v %+v", g, o.RemoteWrite)
 	}
 	for from, to := range map[string]string{`"name"`: `"nam"`, `"s-0000d001"`: `"d001"`, `"ring"`: `"knock"`,
 		`"place": 101,`: `"place": 1,`, `order-status`: `orders`, `127.0.0.1:2727`: `localhost`, `http:`: `ftp:`,
@@ -106,7 +106,7 @@
 			t.Errorf("%s for %s was taken", to, from)
 		}
 	}
-	if o, err := LoadOperator("", c); err != nil || o.MGCPListen != "" || o.Remote != nil || o.Plugin != nil {
+	if o, err := LoadOperator("", c); err != nil || o.MGCPListen != "" || o.RemoteWrite != nil || o.Plugin != nil {
 		t.Errorf("without a file: %+v %v", o, err)
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,10 +19,10 @@
 
 // Operator is the operator's file, checked. What it does not set up is off.
 type Operator struct {
-	MGCPListen string
-	MGCP       mgcp.Plan
-	Remote     *metrics.Remote
-	Plugin     *plugin.Options
+	MGCPListen  string
+	MGCP        mgcp.Plan
+	RemoteWrite *metrics.Remote
+	Plugin      *plugin.Options
 }
 
 type operatorFile struct {
@@ -122,7 +122,7 @@
 		if u, err := url.Parse(r.URL); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
 			return nil, fmt.Errorf("remote_write: %q is no http address", r.URL)
 		}
-		o.Remote = &metrics.Remote{URL: r.URL, Every: time.Duration(r.EveryS * float64(time.Second)), Labels: r.Labels}
+		o.RemoteWrite = &metrics.Remote{URL: r.URL, Every: time.Duration(r.EveryS * float64(time.Second)), Labels: r.Labels}
 	}
 	if p := f.Plugin; p != nil {
 		if p.Path == "" {
--- a/internal/farend/farend.go
+++ b/internal/farend/farend.go
@@ -31,25 +31,25 @@
 
 // The causes that a line can bear.
 const (
-	CauseNormal  = 16
-	CauseBusy    = 17
-	CauseFull    = 34
-	CauseReset   = 41
-	CauseFault   = 47
-	CauseMoot    = 102
-	CausePassed  = 1
-	CauseNotPass = 0
+	CauseNormal      = 16
+	CauseBusy        = 17
+	CauseFull        = 34
+	CauseReset       = 41
+	CauseFault       = 47
+	CauseTimerExpiry = 102
+	CheckPassed      = 1
+	CheckFailed      = 0
 )
 
 // What a stream can hold that is no line. After either the stream cannot be followed further: the next line may be the
 // rest of this one.
 var (
-	ErrTooLong = errors.New("farend: line longer than 16 KiB")
-	ErrMalform = errors.New("farend: malformed line")
+	ErrTooLong   = errors.New("farend: line longer than 16 KiB")
+	ErrMalformed = errors.New("farend: malformed line")
 )
 
-// Line is one message.
-type Line struct {
+// Message is one message.
+type Message struct {
 	Kind  string
 	UID   string
 	Meta  map[string]string
@@ -67,7 +67,7 @@
 
 // Parse reads the first line of b and tells how many bytes it took; with none whole yet it returns nil
 // and 0.
-func Parse(b []byte) (line *Line, n int, err error) {
+func Parse(b []byte) (line *Message, n int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 && len(b) >= MaxLine || end >= MaxLine {
 		return nil, 0, ErrTooLong
@@ -85,9 +85,9 @@
 	// Guards against what would be passed on spoilt: JSON that is not UTF-8 is mended on reading without a word, what
 	// stands behind an object is passed over, and an answer that was cut may have no description.
 	if !utf8.Valid(b[:end]) || dec.Decode(&w) != nil || w.Kind == "" || dec.More() || w.Kind == Running && w.Body == nil {
-		return nil, n, ErrMalform
+		return nil, n, ErrMalformed
 	}
-	line = &Line{Kind: w.Kind, UID: w.UID, Meta: make(map[string]string, len(w.Meta))}
+	line = &Message{Kind: w.Kind, UID: w.UID, Meta: make(map[string]string, len(w.Meta))}
 	for k, v := range w.Meta {
 		switch v := v.(type) {
 		case string:
@@ -95,12 +95,12 @@
 		case json.Number:
 			line.Meta[k] = v.String()
 		default:
-			return nil, n, ErrMalform // fields are strings or numbers
+			return nil, n, ErrMalformed // fields are strings or numbers
 		}
 	}
 	if w.Cause != nil {
 		if line.Cause, err = strconv.Atoi(w.Cause.String()); err != nil {
-			return nil, n, ErrMalform
+			return nil, n, ErrMalformed
 		}
 	}
 	if w.Body != nil {
@@ -110,7 +110,7 @@
 }
 
 // Append writes the line behind dst.
-func (l *Line) Append(dst []byte) []byte {
+func (l *Message) Append(dst []byte) []byte {
 	w := wire{Kind: l.Kind, UID: l.UID, Meta: make(map[string]any, len(l.Meta))}
 	for k, v := range l.Meta {
 		w.Meta[k] = v
@@ -131,8 +131,8 @@
 	return append(dst, out.Bytes()...)
 }
 
-// Ending is how an attempt ended that a stop ends: before the answer, or after it.
-func (l *Line) Ending(stood bool) tinbeam.Code {
+// OutcomeCode is how an attempt ended that a stop ends: before the answer, or after it.
+func (l *Message) OutcomeCode(stood bool) tinbeam.Code {
 	if stood {
 		if l.Cause == CauseReset {
 			return tinbeam.Reset
@@ -142,7 +142,7 @@
 	switch l.Cause {
 	case CauseFull:
 		return tinbeam.Full
-	case CauseMoot:
+	case CauseTimerExpiry:
 		return tinbeam.Moot
 	case CauseReset:
 		return tinbeam.Reset
@@ -151,7 +151,7 @@
 }
 
 // Note is the note of a stop in the module's figures: see tinbeam.NoteNoCircuit and what follows it.
-func (l *Line) Note() uint32 {
+func (l *Message) Note() uint32 {
 	switch l.Meta["note"] {
 	case "blocked":
 		return tinbeam.NoteNoCircuit
@@ -174,7 +174,7 @@
 
 // Report is the load report of the line with the values in the order of fields; nil: none. A value that is
 // absent is -1, as in the reports of the state of a group.
-func (l *Line) Report(fields []string) []float32 {
+func (l *Message) Report(fields []string) []float32 {
 	load, ok := l.Meta["load"]
 	if !ok {
 		return nil
--- a/internal/farend/farend_test.go
+++ b/internal/farend/farend_test.go
@@ -20,13 +20,13 @@
 	if err != nil || string(b[1+n:]) != `{"kind"` {
 		t.Fatalf("%v, left %q", err, b[1+n:])
 	}
-	if m.Ending(false) != tinbeam.Full || m.Note() != tinbeam.NoteProcessor+16*1200 {
-		t.Errorf("ending %v note %d", m.Ending(false), m.Note())
+	if m.OutcomeCode(false) != tinbeam.Full || m.Note() != tinbeam.NoteProcessor+16*1200 {
+		t.Errorf("ending %v note %d", m.OutcomeCode(false), m.Note())
 	}
 	if r := m.Report([]string{"idle", "circuits", "load_share", "depth"}); !reflect.DeepEqual(r, []float32{12, -1, 0.5, -1}) {
 		t.Errorf("report %v", r)
 	}
-	l := Line{Kind: Launch, UID: "9b", Meta: map[string]string{"class": "a<b", "left": "15"}, Body: "v=0\r\n"}
+	l := Message{Kind: Launch, UID: "9b", Meta: map[string]string{"class": "a<b", "left": "15"}, Body: "v=0\r\n"}
 	want := `{"kind":"launch","uid":"9b","meta":{"class":"a<b","left":"15"},"body":"v=0\r\n"}` + "\n"
 	if got := string(l.Append(nil)); got != want {
 		t.Errorf("wrote %q", got)
@@ -39,16 +39,16 @@
 		before, after tinbeam.Code
 	}{
 		{CauseFull, tinbeam.Full, tinbeam.OK}, {CauseBusy, tinbeam.Failed, tinbeam.OK},
-		{CauseFault, tinbeam.Failed, tinbeam.OK}, {CauseMoot, tinbeam.Moot, tinbeam.OK},
+		{CauseFault, tinbeam.Failed, tinbeam.OK}, {CauseTimerExpiry, tinbeam.Moot, tinbeam.OK},
 		{CauseReset, tinbeam.Reset, tinbeam.Reset}, {CauseNormal, tinbeam.Failed, tinbeam.OK},
 	} {
-		l := Line{Kind: Stop, Cause: c.cause}
-		if l.Ending(false) != c.before || l.Ending(true) != c.after {
-			t.Errorf("cause %d: %v and %v", c.cause, l.Ending(false), l.Ending(true))
+		l := Message{Kind: Stop, Cause: c.cause}
+		if l.OutcomeCode(false) != c.before || l.OutcomeCode(true) != c.after {
+			t.Errorf("cause %d: %v and %v", c.cause, l.OutcomeCode(false), l.OutcomeCode(true))
 		}
 	}
 	for note, want := range map[string]uint32{"blocked": 1, "bounced": 2, "far_swamped": 18, "occupied": 4, "": 0} {
-		if got := (&Line{Meta: map[string]string{"note": note}}).Note(); got != want {
+		if got := (&Message{Meta: map[string]string{"note": note}}).Note(); got != want {
 			t.Errorf("note %q: %d", note, got)
 		}
 	}
@@ -56,13 +56,13 @@
 
 func TestMalformed(t *testing.T) {
 	for text, want := range map[string]error{
-		"[]\n": ErrMalform, "{\"kind\":\"\"}\n": ErrMalform, "{\"kind\":\"stop\",\"reason\":1.5}\n": ErrMalform,
-		"{\"kind\":\"running\",\"uid\":\"9b\"}\n": ErrMalform, "{\"kind\":\"stop\"}{\n": ErrMalform,
-		"{\"kind\":\"running\",\"body\":\"v\xff\"}\n": ErrMalform,
-		"{\"kind\":\"stop\",\"meta\":{\"a\":[]}}\n":   ErrMalform, strings.Repeat("x", MaxLine): ErrTooLong,
+		"[]\n": ErrMalformed, "{\"kind\":\"\"}\n": ErrMalformed, "{\"kind\":\"stop\",\"reason\":1.5}\n": ErrMalformed,
+		"{\"kind\":\"running\",\"uid\":\"9b\"}\n": ErrMalformed, "{\"kind\":\"stop\"}{\n": ErrMalformed,
+		"{\"kind\":\"running\",\"body\":\"v\xff\"}\n": ErrMalformed,
+		"{\"kind\":\"stop\",\"meta\":{\"a\":[]}}\n":   ErrMalformed, strings.Repeat("x", MaxLine): ErrTooLong,
 		strings.Repeat("x", MaxLine) + "\n": ErrTooLong,
 	} {
-		if m, n, err := Parse([]byte(text)); m != nil || !errors.Is(err, want) || errors.Is(err, ErrMalform) && n != len(text) {
+		if m, n, err := Parse([]byte(text)); m != nil || !errors.Is(err, want) || errors.Is(err, ErrMalformed) && n != len(text) {
 			t.Errorf("%.30q: %v %d %v", text, m, n, err)
 		}
 	}
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -300,7 +300,7 @@
 				if err == sip.ErrTooLong {
 					status, reason = 513, "Message Too Large"
 				}
-				l.Send(m.Answer(status, reason, "").Append(nil), nil)
+				l.Send(m.Response(status, reason, "").Append(nil), nil)
 			}
 			core.Post(c.end)
 			return used, err
@@ -314,7 +314,7 @@
 		if c.ahead.Add(1) > aheadMost || c.side.ahead.Add(size) > int64(c.side.most) {
 			core.M.Flooded.Inc()
 			if m.Method != "" && m.Method != "ACK" {
-				l.Send(m.Answer(503, "Service Unavailable", "").Append(nil), nil)
+				l.Send(m.Response(503, "Service Unavailable", "").Append(nil), nil)
 			}
 			c.handled(size)
 			continue
@@ -352,7 +352,7 @@
 
 // wrongly refuses a request for what it is. A connection that goes on sending such is closed.
 func (c *callerConn) wrongly(m *sip.Message, status int, reason string, more ...sip.Header) {
-	c.send(m.Answer(status, reason, "", more...))
+	c.send(m.Response(status, reason, "", more...))
 	if c.wrong++; c.wrong >= wrongMost && c.open == 0 {
 		c.link.Finish()
 		c.end()
@@ -387,14 +387,14 @@
 			s.unknown(c, id, m)
 			return
 		}
-		c.send(m.Answer(200, "OK", ""))
+		c.send(m.Response(200, "OK", ""))
 		if leg.bye != nil {
 			return
 		}
 		if leg.open {
 			s.over(id)
 			s.core.Abandoned(leg.call)
-			leg.conn.send(leg.invite.Answer(487, "Request Terminated", ""))
+			leg.conn.send(leg.invite.Response(487, "Request Terminated", ""))
 			return
 		}
 		// It crossed the answer. A caller that took the answer acknowledges it; from one that did not, nothing more
@@ -413,7 +413,7 @@
 			s.unknown(c, id, m)
 			return
 		}
-		c.send(m.Answer(200, "OK", ""))
+		c.send(m.Response(200, "OK", ""))
 		if leg.bye != nil || leg.call.Standing() {
 			s.over(id)
 			if leg.bye == nil {
@@ -431,11 +431,11 @@
 func (s *Callers) unknown(c *callerConn, id string, m *sip.Message) {
 	if _, ok := s.done[id]; ok {
 		s.core.M.Repeated.Inc()
-		c.send(m.Answer(200, "OK", ""))
+		c.send(m.Response(200, "OK", ""))
 		return
 	}
 	s.core.M.Stray.Inc()
-	c.send(m.Answer(481, "Call/Transaction Does Not Exist", ""))
+	c.send(m.Response(481, "Call/Transaction Does Not Exist", ""))
 }
 
 // test answers a test: passed once the agent is ready.
@@ -447,9 +447,9 @@
 		}
 		answered = true
 		if s.ready && s.away == nil {
-			c.send(m.Answer(200, "OK", ""))
+			c.send(m.Response(200, "OK", ""))
 		} else {
-			c.send(m.Answer(503, "Service Unavailable", ""))
+			c.send(m.Response(503, "Service Unavailable", ""))
 		}
 	}
 	if s.ready || len(s.tests) > 64 {
@@ -490,7 +490,7 @@
 		s.core.M.Malformed.Inc()
 		s.over(id)
 		s.core.Abandoned(leg.call)
-		c.send(m.Answer(400, "Bad Request", ""))
+		c.send(m.Response(400, "Bad Request", ""))
 		c.link.Finish()
 		c.end()
 		return
@@ -506,7 +506,7 @@
 		c.wrongly(m, 400, "Bad Request")
 		return
 	}
-	head := m.Head()
+	head := m.CloneForResponses()
 	leg = &callLeg{call: k, conn: c, invite: head, size: len(k.Description), open: true}
 	for _, h := range head.Headers {
 		leg.size += len(h.Name) + len(h.Value)
@@ -514,7 +514,7 @@
 	if s.leaving || s.refuse || c.open >= openMost || s.held+leg.size > s.most {
 		s.core.M.Flooded.Inc()
 		s.core.Declined(k)
-		c.send(m.Answer(503, "Service Unavailable", ""))
+		c.send(m.Response(503, "Service Unavailable", ""))
 		c.dismiss()
 		return
 	}
@@ -603,7 +603,7 @@
 func (s *Callers) Answer(k *agent.Call, description string) {
 	leg := k.Leg.(*callLeg)
 	s.settle(leg)
-	leg.conn.send(leg.invite.Answer(200, "OK", description))
+	leg.conn.send(leg.invite.Response(200, "OK", description))
 	leg.conn.dismiss()
 }
 
@@ -619,7 +619,7 @@
 		seconds := (pause + time.Second - 1) / time.Second
 		more = append(more, sip.Header{Name: "Retry-After", Value: strconv.Itoa(int(seconds))})
 	}
-	leg.conn.send(leg.invite.Answer(status, reason, "", more...))
+	leg.conn.send(leg.invite.Response(status, reason, "", more...))
 	leg.conn.dismiss()
 }
 
--- a/internal/platform/fars.go
+++ b/internal/platform/fars.go
@@ -261,8 +261,8 @@
 }
 
 // launch is the set-up of a call as a far end reads it.
-func launch(k *agent.Call, class string, left time.Duration) *farend.Line {
-	m := &farend.Line{Kind: farend.Launch, UID: k.ID, Body: k.Description, Meta: map[string]string{
+func launch(k *agent.Call, class string, left time.Duration) *farend.Message {
+	m := &farend.Message{Kind: farend.Launch, UID: k.ID, Body: k.Description, Meta: map[string]string{
 		"class": class, "left": strconv.FormatInt(left.Milliseconds(), 10)}}
 	if k.Number != "" {
 		m.Meta["key"] = k.Number
@@ -295,7 +295,7 @@
 		f.core.M.AttemptsTakenBack.Inc()
 		return
 	}
-	l.conn.link.Send((&farend.Line{Kind: farend.Stop, UID: a.Call.ID, Cause: farend.CauseNormal}).Append(nil), nil)
+	l.conn.link.Send((&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: farend.CauseNormal}).Append(nil), nil)
 }
 
 // Release ends a call that stands: on the connection of its set-up, or any other, or the next.
@@ -305,7 +305,7 @@
 		return
 	}
 	x.forget(a)
-	m := (&farend.Line{Kind: farend.Stop, UID: a.Call.ID, Cause: cause}).Append(nil)
+	m := (&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: cause}).Append(nil)
 	if c := a.Leg.(*leg).conn; c != nil && c.link.Send(m, nil) {
 		return
 	}
@@ -333,7 +333,7 @@
 	}
 	uid := fmt.Sprintf("%016x", rand.Uint64())
 	x.checks[uid] = x.fars.core.Now()
-	return c.link.Send((&farend.Line{Kind: farend.Check, UID: uid}).Append(nil), nil)
+	return c.link.Send((&farend.Message{Kind: farend.Check, UID: uid}).Append(nil), nil)
 }
 
 // dial opens a connection where there are fewer than most. It runs beside the loop and posts what became of it.
@@ -491,7 +491,7 @@
 }
 
 // heard takes one line.
-func (c *farConn) heard(m *farend.Line) {
+func (c *farConn) heard(m *farend.Message) {
 	x := c.far
 	core := x.fars.core
 	x.heard, x.testing = core.Now(), false
@@ -515,10 +515,10 @@
 			return
 		}
 		if a.Standing() {
-			c.link.Send((&farend.Line{Kind: farend.Stopped, UID: m.UID}).Append(nil), nil)
+			c.link.Send((&farend.Message{Kind: farend.Stopped, UID: m.UID}).Append(nil), nil)
 		}
 		x.forget(a)
-		core.Ended(a, m.Ending(a.Standing()), m.Note(), m.Report(core.Set.ReportFields), m.Cause)
+		core.Ended(a, m.OutcomeCode(a.Standing()), m.Note(), m.Report(core.Set.ReportFields), m.Cause)
 	case farend.Usage:
 		// Guards against a state told twice: it comes on every connection, and the copy that comes second is older than
 		// the set-ups that the first one let go. Taken as news, it lets as many go again, and they find no circuit.
@@ -539,7 +539,7 @@
 		}
 		delete(x.checks, m.UID)
 		code := tinbeam.OK
-		if m.Cause != farend.CausePassed {
+		if m.Cause != farend.CheckPassed {
 			code = tinbeam.Failed
 		}
 		core.Probed(x.id, code, core.Now()-at, m.Report(core.Set.ReportFields))
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -42,7 +42,7 @@
 		kind := tinbeam.ListDelta
 		if i == 0 {
 			kind = tinbeam.ListCached
-		} else if e.Kind == changelog.Whole {
+		} else if e.Kind == changelog.FullList {
 			kind = tinbeam.ListFull
 		}
 		f.apply(e, kind)
@@ -110,7 +110,7 @@
 	default:
 		c.link, f.conn, f.heard = l, c, f.core.Now()
 		f.core.M.ListReconnects.Inc()
-		l.Send(changelog.Resume(f.seq), nil)
+		l.Send(changelog.ResumeRequest(f.seq), nil)
 	}
 }
 
@@ -138,11 +138,11 @@
 	}
 	f.heard = f.core.Now()
 	switch {
-	case e.Kind == changelog.Nothing:
+	case e.Kind == changelog.KeepAlive:
 	case e.Seq <= f.seq:
 		// Guards against an event told twice, a whole list too: what came behind it would be undone.
 		f.core.M.ListGaps.Inc()
-	case e.Kind == changelog.Whole:
+	case e.Kind == changelog.FullList:
 		f.apply(*e, tinbeam.ListFull)
 	case e.Seq > f.seq+1:
 		// Something was missed, and a change applies to what was before it: ask again from the last one held.
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -15,9 +15,9 @@
 // What a stream can hold that is no message. After any of them the stream cannot be followed further,
 // for where the next message starts is not known.
 var (
-	ErrTooLong  = errors.New("sip: message longer than 16 KiB")
-	ErrMalform  = errors.New("sip: malformed message")
-	ErrNoLength = errors.New("sip: no usable Content-Length")
+	ErrTooLong   = errors.New("sip: message longer than 16 KiB")
+	ErrMalformed = errors.New("sip: malformed message")
+	ErrNoLength  = errors.New("sip: no usable Content-Length")
 )
 
 // Header is one header field.
@@ -94,7 +94,7 @@
 		name, value, ok := strings.Cut(line, ":")
 		name = strings.TrimSpace(name)
 		if !ok || name == "" {
-			return m, start, ErrMalform
+			return m, start, ErrMalformed
 		}
 		if long := compact[strings.ToLower(name)]; long != "" {
 			name = long
@@ -120,13 +120,13 @@
 	if a == "SIP/2.0" {
 		n, err := strconv.Atoi(b)
 		if err != nil || n < 100 || n > 699 {
-			return ErrMalform
+			return ErrMalformed
 		}
 		m.Status, m.Reason = n, c
 		return nil
 	}
 	if a == "" || b == "" || c != "SIP/2.0" {
-		return ErrMalform
+		return ErrMalformed
 	}
 	m.Method, m.URI = a, b
 	return nil
@@ -151,18 +151,18 @@
 	return append(append(dst, "\r\n\r\n"...), m.Body...)
 }
 
-// Head is the request without what is of no use once it has been taken in: what its answers copy, and no more. It shares
+// CloneForResponses is the request without what is of no use once it has been taken in: what its answers copy, and no more. It shares
 // no memory with the message, whose strings are parts of one.
-func (m *Message) Head() *Message {
+func (m *Message) CloneForResponses() *Message {
 	h := &Message{Method: strings.Clone(m.Method)}
-	for _, x := range m.Answer(0, "", "").Headers {
+	for _, x := range m.Response(0, "", "").Headers {
 		h.Headers = append(h.Headers, Header{strings.Clone(x.Name), strings.Clone(x.Value)})
 	}
 	return h
 }
 
-// Answer is the answer to a request: its path and identity are copied, as section 8.2.6.2 asks.
-func (m *Message) Answer(status int, reason, body string, more ...Header) *Message {
+// Response is the answer to a request: its path and identity are copied, as section 8.2.6.2 asks.
+func (m *Message) Response(status int, reason, body string, more ...Header) *Message {
 	r := &Message{Status: status, Reason: reason, Body: body}
 	for _, h := range m.Headers {
 		switch strings.ToLower(h.Name) {
--- a/internal/sip/sip_test.go
+++ b/internal/sip/sip_test.go
@@ -22,16 +22,16 @@
 	}
 	want := "SIP/2.0 486 Busy Here\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: 9b1f03aa5c7e2d41\r\nCSeq: 1 INVITE\r\n" +
 		"Retry-After: 2\r\nContent-Length: 0\r\n\r\n"
-	if got := m.Answer(486, "Busy Here", "", Header{"Retry-After", "2"}).Append(nil); string(got) != want {
+	if got := m.Response(486, "Busy Here", "", Header{"Retry-After", "2"}).Append(nil); string(got) != want {
 		t.Errorf("answer %q", got)
 	}
 }
 
 func TestMalformed(t *testing.T) {
 	for text, want := range map[string]error{
-		"INVITE sip:1@net SIP/3.0\r\nContent-Length: 0\r\n\r\n":                       ErrMalform,
-		"SIP/2.0 99 Low\r\nContent-Length: 0\r\n\r\n":                                 ErrMalform,
-		"BYE sip:1@net SIP/2.0\r\nno colon\r\nContent-Length: 0\r\n\r\n":              ErrMalform,
+		"INVITE sip:1@net SIP/3.0\r\nContent-Length: 0\r\n\r\n":                       ErrMalformed,
+		"SIP/2.0 99 Low\r\nContent-Length: 0\r\n\r\n":                                 ErrMalformed,
+		"BYE sip:1@net SIP/2.0\r\nno colon\r\nContent-Length: 0\r\n\r\n":              ErrMalformed,
 		"BYE sip:1@net SIP/2.0\r\nCall-ID: 1\r\n\r\n":                                 ErrNoLength,
 		"BYE sip:1@net SIP/2.0\r\nContent-Length: -1\r\n\r\n":                         ErrNoLength,
 		"BYE sip:1@net SIP/2.0\r\nContent-Length: 99999\r\n\r\n":                      ErrTooLong,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,8 +50,8 @@
 
 // Hello starts a controller.
 type Hello struct {
-	Salt uint64
-	Info string
+	Seed     uint64
+	Settings string
 }
 
 // Record is one event of a batch. Hello is set, or Killed, or else Event.
@@ -237,12 +237,12 @@
 	r := Record{Controller: c.u32(), Offset: start}
 	switch code {
 	case codeHello:
-		h := &Hello{Salt: c.u64()}
+		h := &Hello{Seed: c.u64()}
 		n := c.u32()
 		if c.err == nil && int64(n) > int64(len(c.b)-c.at) {
 			c.fail(c.at-4, "settings of %d bytes, %d left in the frame", n, len(c.b)-c.at)
 		}
-		h.Info = string(c.take(int(n)))
+		h.Settings = string(c.take(int(n)))
 		r.Hello = h
 	case codeKilled:
 		r.Killed = true
