--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -37,8 +37,9 @@
 // How callers are sent away: where operators ask for it, callers have nowhere else to go before the front knows, and have to be
 // gone after 4 s; where another process holds their socket too, they find it at once.
 var (
-	drainPace = platform.Pace{Refuse: 3300 * time.Millisecond, Close: 3600 * time.Millisecond, Over: 3750 * time.Millisecond}
-	handPace  = platform.Pace{Close: 100 * time.Millisecond}
+	drainPace = platform.DrainSchedule{RefuseAfter: 3300 * time.Millisecond, CloseAfter: 3600 * time.Millisecond,
+		EndAfter: 3750 * time.Millisecond}
+	handPace = platform.DrainSchedule{CloseAfter: 100 * time.Millisecond}
 )
 
 // App is one call agent.
@@ -48,9 +49,9 @@
 	core    *agent.Core
 	log     *zap.Logger
 	cfg     *config.Config
-	feed    *platform.Feed // set on the loop
+	feed    *platform.ChangeLogClient // set on the loop
 	callers *platform.Callers
-	fars    *platform.Fars // set on the loop
+	fars    *platform.FarEnds // set on the loop
 	ln      *link.Listener
 	udp     *mgcp.Socket
 	door    *manage.Server
@@ -143,8 +144,8 @@
 			waits++
 		}
 	}
-	a.fars = platform.NewFars(a.core, a.log, cfg.ConnectTimeout, ready)
-	a.feed = platform.NewFeed(a.core, a.fars, a.log, cfg.Changelog, cfg.KnownSeq, cfg.KnownEvents)
+	a.fars = platform.NewFarEnds(a.core, a.log, cfg.ConnectTimeout, ready)
+	a.feed = platform.NewChangeLogClient(a.core, a.fars, a.log, cfg.Changelog, cfg.KnownSeq, cfg.KnownEvents)
 	if a.udp != nil {
 		front := mgcp.New(a.core, a.log, op.MGCP, cfg.Seed, a.udp.Send)
 		go a.udp.Serve(a.loop, a.M, front.Datagram)
@@ -158,7 +159,7 @@
 
 // ready takes callers.
 func (a *App) ready() {
-	a.callers.Ready()
+	a.callers.SetReady()
 	a.ln.Serve()
 	a.once.ready.Do(func() { a.taking.Store(true) })
 }
@@ -179,9 +180,9 @@
 		switch {
 		case a.ending:
 		case a.away.Load():
-			a.callers.Away(&drainPace)
+			a.callers.Drain(&drainPace)
 		default:
-			a.callers.Away(nil)
+			a.callers.Drain(nil)
 		}
 	})
 }
@@ -288,7 +289,7 @@
 		if !reflect.DeepEqual(c.Settings, old.Settings) {
 			a.core.Retune(c.Settings)
 		}
-		a.feed.Move(c.Changelog)
+		a.feed.SetAddress(c.Changelog)
 	})
 }
 
@@ -307,7 +308,7 @@
 				// Guards what comes from now on: it is for the process that holds the socket next. Who is connected already is
 				// served, and sent there as soon as it waits for nothing.
 				a.ln.Leave()
-				a.callers.Away(&handPace)
+				a.callers.Drain(&handPace)
 				most = handMost
 			}
 			for _, k := range a.core.Set.Classes {
@@ -321,14 +322,14 @@
 			}
 			var look func()
 			look = func() {
-				if a.core.Held() == 0 && a.callers.Held() == 0 {
+				if a.core.Held() == 0 && a.callers.OpenCalls() == 0 {
 					over()
 					return
 				}
 				a.loop.After(termLook, look)
 			}
 			a.loop.After(termStay, look)
-			a.loop.After(longest+termLeave, a.callers.Leave)
+			a.loop.After(longest+termLeave, a.callers.RefuseNewCalls)
 			a.loop.After(longest+termClear, a.core.Clear)
 			a.loop.After(longest+termOver, over)
 		})
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -46,7 +46,7 @@
 	legs    map[string]*callLeg // by Call-ID
 	conns   []*callerConn       // open, the latest to say something last
 	leaving bool                // the agent is about to end and takes no more calls
-	away    *Pace               // how callers are sent away; nil: they are taken
+	away    *DrainSchedule      // how callers are sent away; nil: they are taken
 	closing bool                // and how far that has come
 	refuse  bool
 	room    int                 // connections beyond which those without a set-up make room
@@ -117,20 +117,20 @@
 	}
 }
 
-// Leave takes no more calls: what still comes is refused.
-func (s *Callers) Leave() { s.leaving = true }
+// RefuseNewCalls takes no more calls: what still comes is refused.
+func (s *Callers) RefuseNewCalls() { s.leaving = true }
 
-// Pace is how callers are sent away, in times from when that began; 0: never.
-type Pace struct {
-	Close  time.Duration // from then on a connection is closed as soon as no set-up is open on it
-	Refuse time.Duration // from then on further set-ups are refused, so that the busiest connection comes to that too
-	Over   time.Duration // and then what is still open is answered, and every connection closed
+// DrainSchedule is how callers are sent away, in times from when that began; 0: never.
+type DrainSchedule struct {
+	CloseAfter  time.Duration // from then on a connection is closed as soon as no set-up is open on it
+	RefuseAfter time.Duration // from then on further set-ups are refused, so that the busiest connection comes to that too
+	EndAfter    time.Duration // and then what is still open is answered, and every connection closed
 }
 
-// Away sends callers away, or with nil takes them again. Tests are failed; who is connected is served until its connection
+// Drain sends callers away, or with nil takes them again. Tests are failed; who is connected is served until its connection
 // can be closed, best right behind an answer, when no request crosses the close. A call that stands belongs to no
 // connection: its release goes to whoever connects next.
-func (s *Callers) Away(pace *Pace) {
+func (s *Callers) Drain(pace *DrainSchedule) {
 	s.away = pace
 	s.refuse = false
 	if pace == nil {
@@ -146,12 +146,12 @@
 		}
 	}
 	s.closing = false
-	after(pace.Close, func() {
+	after(pace.CloseAfter, func() {
 		s.closing = true
 		s.dismiss()
 	})
-	after(pace.Refuse, func() { s.refuse = true })
-	after(pace.Over, func() {
+	after(pace.RefuseAfter, func() { s.refuse = true })
+	after(pace.EndAfter, func() {
 		for _, c := range slices.Clone(s.conns) {
 			for _, id := range slices.Sorted(maps.Keys(c.legs)) {
 				if leg := c.legs[id]; leg.open {
@@ -185,8 +185,8 @@
 	}
 }
 
-// Held is how many calls wait for their final answer, stand, or are over and not yet released by their callers.
-func (s *Callers) Held() int { return len(s.legs) }
+// OpenCalls is how many calls wait for their final answer, stand, or are over and not yet released by their callers.
+func (s *Callers) OpenCalls() int { return len(s.legs) }
 
 // callerConn is one connection; its methods Data and Closed run outside the loop and only post.
 type callerConn struct {
@@ -275,8 +275,8 @@
 	}
 }
 
-// Ready tells that the agent can take calls: tests are passed from now on.
-func (s *Callers) Ready() {
+// SetReady tells that the agent can take calls: tests are passed from now on.
+func (s *Callers) SetReady() {
 	s.ready = true
 	for _, t := range s.tests {
 		t()
--- a/internal/platform/callers_test.go
+++ b/internal/platform/callers_test.go
@@ -167,7 +167,7 @@
 	now := time.Hour
 	s := sideOn(func() time.Duration { return now }, 10)
 	connect := dialer(t, s)
-	pace := &Pace{Close: time.Second, Refuse: 2 * time.Second, Over: 3 * time.Second}
+	pace := &DrainSchedule{CloseAfter: time.Second, RefuseAfter: 2 * time.Second, EndAfter: 3 * time.Second}
 	var peers []net.Conn
 	open := func(n int) { // and say something, else they count as silent
 		for i := 0; i < n; i++ {
@@ -190,14 +190,14 @@
 	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, Place: 1, Mode: tinbeam.Ready}}, nowhere{})
 	open(3)
 	busy, last, quiet := s.conns[0], s.conns[1], s.conns[2]
-	s.Away(pace)
+	s.Drain(pace)
 	pass(500 * time.Millisecond)
-	s.Away(nil)
+	s.Drain(nil)
 	pass(5 * time.Second)
 	if quiet.over || s.closing {
 		t.Fatal("callers that are taken again were sent away")
 	}
-	s.Away(pace)
+	s.Drain(pace)
 	pass(500 * time.Millisecond)
 	offer(busy, "9b1f03aa5c7e2d41")
 	offer(last, "9b1f03aa5c7e2d42")
@@ -314,7 +314,7 @@
 		got = append(got, buf[:n]...)
 	}
 	c.message(&sip.Message{Status: 481, Headers: []sip.Header{{Name: "Call-ID", Value: m.Get("Call-ID")}, {Name: "CSeq", Value: "1 BYE"}}})
-	if s.Held() != 0 || s.core.Held() != 0 {
-		t.Errorf("%d and %d calls are held", s.Held(), s.core.Held())
+	if s.OpenCalls() != 0 || s.core.Held() != 0 {
+		t.Errorf("%d and %d calls are held", s.OpenCalls(), s.core.Held())
 	}
 }
--- a/internal/platform/fars.go
+++ b/internal/platform/fars.go
@@ -32,8 +32,8 @@
 	releasesMost = 1024            // releases kept for a far end that cannot be reached
 )
 
-// Fars is the far side: connections to the far ends in the list, kept ready.
-type Fars struct {
+// FarEnds is the far side: connections to the far ends in the list, kept ready.
+type FarEnds struct {
 	core    *agent.Core
 	log     *zap.Logger
 	timeout time.Duration // for a connection to come up
@@ -44,7 +44,7 @@
 
 // far is one far end.
 type far struct {
-	fars     *Fars
+	fars     *FarEnds
 	id       uint32
 	addr     string
 	moved    bool // the list has just told another address
@@ -83,12 +83,12 @@
 	expire *agent.Timer // while it waits for a connection
 }
 
-// NewFars makes the far side; changed is called when a far end becomes ready for calls.
-func NewFars(core *agent.Core, log *zap.Logger, timeout time.Duration, changed func()) *Fars {
+// NewFarEnds makes the far side; changed is called when a far end becomes ready for calls.
+func NewFarEnds(core *agent.Core, log *zap.Logger, timeout time.Duration, changed func()) *FarEnds {
 	if timeout <= 0 {
 		timeout = 500 * time.Millisecond
 	}
-	f := &Fars{core: core, log: log, timeout: timeout, byID: map[uint32]*far{}, changed: changed}
+	f := &FarEnds{core: core, log: log, timeout: timeout, byID: map[uint32]*far{}, changed: changed}
 	var sweep func()
 	sweep = func() {
 		for _, id := range slices.Sorted(maps.Keys(f.byID)) {
@@ -101,7 +101,7 @@
 }
 
 // Close closes the connections for good. What ends from now on is told to whom opens the next ones.
-func (f *Fars) Close() {
+func (f *FarEnds) Close() {
 	f.closed = true
 	for _, id := range slices.Sorted(maps.Keys(f.byID)) {
 		f.byID[id].hangUp()
@@ -109,7 +109,7 @@
 }
 
 // Listed takes an event of the list and hands it on to the core.
-func (f *Fars) Listed(version uint64, kind tinbeam.ListKind, entries []changelog.Entry) {
+func (f *FarEnds) Listed(version uint64, kind tinbeam.ListKind, entries []changelog.Entry) {
 	listed := map[uint32]bool{}
 	plain := make([]tinbeam.Entry, len(entries))
 	var changed []*far
@@ -227,7 +227,7 @@
 }
 
 // SetUp sends a set-up, or keeps it until a connection is up, no longer than one may take.
-func (f *Fars) SetUp(a *agent.Attempt) {
+func (f *FarEnds) SetUp(a *agent.Attempt) {
 	l := &leg{ticket: link.Ticket{Count: f.core.M.Launches}}
 	a.Leg = l
 	x := f.byID[a.Switch]
@@ -284,7 +284,7 @@
 }
 
 // GiveUp takes a set-up back, or calls it off.
-func (f *Fars) GiveUp(a *agent.Attempt) {
+func (f *FarEnds) GiveUp(a *agent.Attempt) {
 	l := a.Leg.(*leg)
 	x := f.byID[a.Switch]
 	if x == nil {
@@ -299,7 +299,7 @@
 }
 
 // Release ends a call that stands: on the connection of its set-up, or any other, or the next.
-func (f *Fars) Release(a *agent.Attempt, cause int) {
+func (f *FarEnds) Release(a *agent.Attempt, cause int) {
 	x := f.byID[a.Switch]
 	if x == nil {
 		return
@@ -318,7 +318,7 @@
 }
 
 // Probe tests a far end.
-func (f *Fars) Probe(id uint32) {
+func (f *FarEnds) Probe(id uint32) {
 	x := f.byID[id]
 	if x == nil || !x.check() {
 		f.core.Probed(id, tinbeam.ConnectFailed, 0, nil)
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -17,10 +17,10 @@
 	feedPause   = 200 * time.Millisecond
 )
 
-// Feed follows the change log.
-type Feed struct {
+// ChangeLogClient follows the change log.
+type ChangeLogClient struct {
 	core    *agent.Core
-	fars    *Fars
+	fars    *FarEnds
 	log     *zap.Logger
 	addr    string
 	seq     uint64
@@ -30,14 +30,15 @@
 }
 
 type feedConn struct {
-	feed *Feed
+	feed *ChangeLogClient
 	link *link.Conn
 	over bool
 }
 
-// NewFeed applies the events of the start and follows the change log from there; no address: it rests.
-func NewFeed(core *agent.Core, fars *Fars, log *zap.Logger, addr string, seq uint64, known []changelog.Event) *Feed {
-	f := &Feed{core: core, fars: fars, log: log, addr: addr}
+// NewChangeLogClient applies the events of the start and follows the change log from there; no address: it rests.
+func NewChangeLogClient(core *agent.Core, fars *FarEnds, log *zap.Logger,
+	addr string, seq uint64, known []changelog.Event) *ChangeLogClient {
+	f := &ChangeLogClient{core: core, fars: fars, log: log, addr: addr}
 	for i, e := range known {
 		kind := tinbeam.ListDelta
 		if i == 0 {
@@ -60,15 +61,15 @@
 	return f
 }
 
-func (f *Feed) apply(e changelog.Event, kind tinbeam.ListKind) {
+func (f *ChangeLogClient) apply(e changelog.Event, kind tinbeam.ListKind) {
 	f.seq = e.Seq
 	f.core.M.ListEvents.Inc()
 	f.fars.Listed(e.Seq, kind, e.Entries)
 }
 
-// Move follows the change log at another address from now on. The numbers continue there. The old one tells nothing
+// SetAddress follows the change log at another address from now on. The numbers continue there. The old one tells nothing
 // further, so neither a link nor a dial to it is waited for.
-func (f *Feed) Move(addr string) {
+func (f *ChangeLogClient) SetAddress(addr string) {
 	if addr == f.addr {
 		return
 	}
@@ -80,7 +81,7 @@
 	f.dial()
 }
 
-func (f *Feed) dial() {
+func (f *ChangeLogClient) dial() {
 	if f.addr == "" || f.conn != nil || f.dialing != nil {
 		return
 	}
@@ -94,7 +95,7 @@
 }
 
 // dialed takes what became of a dial.
-func (f *Feed) dialed(c *feedConn, l *link.Conn, err error) {
+func (f *ChangeLogClient) dialed(c *feedConn, l *link.Conn, err error) {
 	wanted := f.dialing == c
 	if wanted {
 		f.dialing = nil
