--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -156,8 +156,8 @@
 			listed++
 		}
 	}
-	c.M.Listed.Set(int64(listed))
-	c.guarded(c.ctl, func() { c.M.Avoided.Set(int64(c.ctl.Avoided())) })
+	c.M.FarEndsListed.Set(int64(listed))
+	c.guarded(c.ctl, func() { c.M.FarEndsAvoided.Set(int64(c.ctl.Avoided())) })
 }
 
 // Retune takes other settings. What is open keeps its class, so a class that is changed or dropped keeps its place in the
@@ -408,7 +408,7 @@
 func (c *Core) Answered(at *Attempt, description string) {
 	k := at.Call
 	if k.out != at || k.standing {
-		c.M.Stray.Inc() // it crossed what ended the attempt, or came twice
+		c.M.StrayMessages.Inc() // it crossed what ended the attempt, or came twice
 		return
 	}
 	c.Stop(at.timer)
@@ -418,7 +418,7 @@
 	k.standing = true
 	c.M.Answered.Inc()
 	c.class(k).Answered.Inc()
-	c.M.Standing.Add(1)
+	c.M.Established.Add(1)
 	k.Caller.Answer(k, description)
 	c.tell(tinbeam.Flowing{Ref: k.ref, Try: at.try, Switch: at.Switch, Took: c.Now() - at.SentAt})
 	c.see("answered", k)
@@ -428,7 +428,7 @@
 func (c *Core) Ended(at *Attempt, code tinbeam.Code, note uint32, report []float32, cause int) {
 	k := at.Call
 	if k.out != at {
-		c.M.Stray.Inc()
+		c.M.StrayMessages.Inc()
 		return
 	}
 	c.drop(at)
@@ -465,7 +465,7 @@
 func (c *Core) over(k *Call) {
 	k.standing = false
 	delete(c.calls, k.ref)
-	c.M.Standing.Add(-1)
+	c.M.Established.Add(-1)
 	c.M.Released.Inc()
 	c.see("released", k)
 }
@@ -492,7 +492,7 @@
 func (c *Core) Hangup(k *Call, cause int) {
 	at := k.out
 	if !k.standing || at == nil {
-		c.M.Repeated.Inc()
+		c.M.Duplicates.Inc()
 		return
 	}
 	c.drop(at)
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -121,7 +121,7 @@
 	b.Ended(b.sent[0], tinbeam.OK, 0, nil, 16) // the far end's own release crosses the caller's
 	b.Hangup(k, 16)
 	b.expect(t, "set up a", "answer a x", "release a")
-	if n := b.M.Standing.Value(); n != 0 {
+	if n := b.M.Established.Value(); n != 0 {
 		t.Errorf("%d stand", n)
 	}
 }
@@ -135,8 +135,8 @@
 	b.Clear()
 	b.Clear()
 	b.expect(t, "set up a", "set up b", "answer a x", "give up b", "refuse b true")
-	if b.Owed() != 0 || b.M.Standing.Value() != 1 {
-		t.Errorf("%d owed, %d stand", b.Owed(), b.M.Standing.Value())
+	if b.Owed() != 0 || b.M.Established.Value() != 1 {
+		t.Errorf("%d owed, %d stand", b.Owed(), b.M.Established.Value())
 	}
 }
 
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -57,7 +57,7 @@
 	door    *manage.Server
 	taking  atomic.Bool // it is ready, and not about to end
 	away    atomic.Bool // operators have had callers sent away
-	remote  *metrics.Remote
+	remote  *metrics.RemoteWriter
 	ending  bool // on the loop
 	once    struct{ ready, term sync.Once }
 	ctx     context.Context
@@ -148,7 +148,7 @@
 	a.feed = platform.NewChangeLogClient(a.core, a.fars, a.log, cfg.Changelog, cfg.KnownSeq, cfg.KnownEvents)
 	if a.udp != nil {
 		front := mgcp.New(a.core, a.log, op.MGCP, cfg.Seed, a.udp.Send)
-		go a.udp.Serve(a.loop, a.M, front.Datagram)
+		go a.udp.Serve(a.loop, a.M, front.HandleDatagram)
 	}
 	ready()
 	a.loop.After(readyAfter, a.ready)
@@ -164,8 +164,8 @@
 	a.once.ready.Do(func() { a.taking.Store(true) })
 }
 
-// Taking tells whether callers are taken.
-func (a *App) Taking() bool { return a.taking.Load() && !a.away.Load() }
+// AcceptsCallers tells whether callers are taken.
+func (a *App) AcceptsCallers() bool { return a.taking.Load() && !a.away.Load() }
 
 // Drain sends callers away, or takes them again.
 func (a *App) Drain(on bool) {
@@ -200,12 +200,12 @@
 	Rejected    int64            `json:"sighup_rejected"`
 }
 
-// Figures is the present ones.
-func (a *App) Figures() any {
+// Stats is the present ones.
+func (a *App) Stats() any {
 	m := a.M
 	f := figures{Succeeded: map[string]int64{}, Declined: map[string]int64{}, Aborted: map[string]int64{},
-		Forwards: m.Launches.Value(), Outstanding: m.Pending.Value() + m.Standing.Value(), Discovered: m.Listed.Value(),
-		Ejected: m.Avoided.Value(), Applied: m.Reloads.Value(), Rejected: m.ReloadsFailed.Value()}
+		Forwards: m.Launches.Value(), Outstanding: m.Pending.Value() + m.Established.Value(), Discovered: m.FarEndsListed.Value(),
+		Ejected: m.FarEndsAvoided.Value(), Applied: m.Reloads.Value(), Rejected: m.ReloadsFailed.Value()}
 	for _, name := range m.Classes() {
 		c := m.Class(name)
 		f.Succeeded[name], f.Declined[name], f.Aborted[name] = c.Answered.Value(), c.Refused.Value(), c.Failed.Value()
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -20,8 +20,8 @@
 // Operator is the operator's file, checked. What it does not set up is off.
 type Operator struct {
 	MGCPListen  string
-	MGCP        mgcp.Plan
-	RemoteWrite *metrics.Remote
+	MGCP        mgcp.Config
+	RemoteWrite *metrics.RemoteWriter
 	Plugin      *plugin.Options
 }
 
@@ -85,7 +85,7 @@
 		if _, err := netip.ParseAddrPort(m.Listen); err != nil {
 			return nil, fmt.Errorf("mgcp: listen: %q is no address with a port", m.Listen)
 		}
-		o.MGCPListen, o.MGCP.Digits = m.Listen, m.Digits
+		o.MGCPListen, o.MGCP.DigitMap = m.Listen, m.Digits
 		names, places := map[string]bool{}, map[int]bool{}
 		for _, g := range m.Gateways {
 			id, err := changelog.ParseID(g.ID)
@@ -112,17 +112,17 @@
 			}
 			names[strings.ToLower(g.Name)], places[g.Place] = true, true
 			o.MGCP.Gateways = append(o.MGCP.Gateways, mgcp.Gateway{Name: g.Name, Address: g.Address, ID: id,
-				Place: g.Place, Zone: max(zone, 0), Lines: g.Lines, Rings: g.Answer == "ring", Class: g.Class})
+				Exchange: g.Place, Zone: max(zone, 0), Lines: g.Lines, ManualAnswer: g.Answer == "ring", Class: g.Class})
 		}
 		for _, r := range m.Routes {
-			o.MGCP.Routes = append(o.MGCP.Routes, mgcp.Route{Prefix: r.Prefix, Place: r.Place})
+			o.MGCP.Routes = append(o.MGCP.Routes, mgcp.Route{Prefix: r.Prefix, Exchange: r.Place})
 		}
 	}
 	if r := f.Remote; r != nil {
 		if u, err := url.Parse(r.URL); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
 			return nil, fmt.Errorf("remote_write: %q is no http address", r.URL)
 		}
-		o.RemoteWrite = &metrics.Remote{URL: r.URL, Every: time.Duration(r.EveryS * float64(time.Second)), Labels: r.Labels}
+		o.RemoteWrite = &metrics.RemoteWriter{URL: r.URL, Interval: time.Duration(r.EveryS * float64(time.Second)), Labels: r.Labels}
 	}
 	if p := f.Plugin; p != nil {
 		if p.Path == "" {
--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -22,9 +22,9 @@
 
 // Agent is what operators call.
 type Agent interface {
-	Taking() bool // whether it takes callers
-	Figures() any // to be written as JSON
-	Drain(bool)   // send callers away, or take them again
+	AcceptsCallers() bool // whether it takes callers
+	Stats() any           // to be written as JSON
+	Drain(bool)           // send callers away, or take them again
 }
 
 // Server serves operators.
@@ -63,7 +63,7 @@
 func handler(agent Agent) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) {
-		if !agent.Taking() {
+		if !agent.AcceptsCallers() {
 			http.Error(w, "callers are not taken", http.StatusServiceUnavailable)
 			return
 		}
@@ -71,7 +71,7 @@
 	})
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(agent.Figures())
+		_ = json.NewEncoder(w).Encode(agent.Stats())
 	})
 	mux.HandleFunc("POST /drain", func(w http.ResponseWriter, _ *http.Request) {
 		agent.Drain(true)
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -14,9 +14,9 @@
 
 type agent struct{ away bool }
 
-func (a *agent) Taking() bool  { return !a.away }
-func (a *agent) Figures() any  { return map[string]int{"outstanding": 3} }
-func (a *agent) Drain(on bool) { a.away = on }
+func (a *agent) AcceptsCallers() bool { return !a.away }
+func (a *agent) Stats() any           { return map[string]int{"outstanding": 3} }
+func (a *agent) Drain(on bool)        { a.away = on }
 
 func TestCalls(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 4, &agent{}, zap.NewNop())
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -32,22 +32,22 @@
 
 // Set is the counters of one agent.
 type Set struct {
-	Offered, Answered, Refused, Failed, Abandoned, Released *Counter
-	Standing, Pending, QueueLength                          *Counter
-	Attempts, AttemptsFull, AttemptsFailed, AttemptsTimeout *Counter
-	AttemptsReset, AttemptsUnreached, AttemptsTakenBack     *Counter
-	Probes, Reports, Launches                               *Counter
-	Listed, Avoided, Drains                                 *Counter
-	LinksUp, LinksLost, DialsFailed, SilentLinks            *Counter
-	StuckLinks                                              *Counter
-	ListEvents, ListGaps, ListReconnects                    *Counter
-	Reloads, ReloadsFailed                                  *Counter
-	Malformed, Stray, Repeated                              *Counter
-	CallersIn, CallersSilent, CallersEvicted, Flooded       *Counter
-	Violations, Panics, LateAnswers                         *Counter
-	PluginCalls, PluginRefusals, PluginFailures             *Counter
-	MGCPIn, MGCPOut, MGCPResent, MGCPReplayed, MGCPRestarts *Counter
-	PushesOK, PushesFailed                                  *Counter
+	Offered, Answered, Refused, Failed, Abandoned, Released         *Counter
+	Established, Pending, QueueLength                               *Counter
+	Attempts, AttemptsFull, AttemptsFailed, AttemptsTimeout         *Counter
+	AttemptsReset, AttemptsUnreached, AttemptsWithdrawn             *Counter
+	Probes, Reports, Launches                                       *Counter
+	FarEndsListed, FarEndsAvoided, Drains                           *Counter
+	LinksUp, LinksLost, DialsFailed, IdleLinks                      *Counter
+	StalledLinks                                                    *Counter
+	ListEvents, ListGaps, ListReconnects                            *Counter
+	Reloads, ReloadsFailed                                          *Counter
+	Malformed, StrayMessages, Duplicates                            *Counter
+	CallerConnections, CallersTimedOut, CallersEvicted, RateLimited *Counter
+	Violations, Panics, LateAnswers                                 *Counter
+	PluginCalls, PluginRefusals, PluginFailures                     *Counter
+	MGCPIn, MGCPOut, MGCPResent, MGCPReplayed, MGCPRestarts         *Counter
+	PushesOK, PushesFailed                                          *Counter
 
 	all     []*Counter
 	mu      sync.Mutex
@@ -93,7 +93,7 @@
 	add(&s.Failed, "calls_failed_total", "calls that ended as failed")
 	add(&s.Abandoned, "calls_abandoned_total", "calls given up by their callers before the answer")
 	add(&s.Released, "calls_released_total", "standing calls that came to an end")
-	gauge(&s.Standing, "calls_standing", "calls that stand now")
+	gauge(&s.Established, "calls_standing", "calls that stand now")
 	gauge(&s.Pending, "calls_pending", "calls that wait for their final answer now")
 	gauge(&s.QueueLength, "core_queue_length", "events that wait for the core")
 	add(&s.Attempts, "attempts_total", "set-ups handed to a far end")
@@ -102,30 +102,30 @@
 	add(&s.AttemptsTimeout, "attempts_timed_out_total", "attempts given up for want of an answer")
 	add(&s.AttemptsReset, "attempts_reset_total", "attempts that broke on their way")
 	add(&s.AttemptsUnreached, "attempts_unreached_total", "attempts for which no connection came up")
-	add(&s.AttemptsTakenBack, "attempts_taken_back_total", "set-ups withdrawn before a byte was written")
+	add(&s.AttemptsWithdrawn, "attempts_taken_back_total", "set-ups withdrawn before a byte was written")
 	add(&s.Launches, "launches_total", "set-ups written whole towards a far end")
-	gauge(&s.Listed, "far_ends_listed", "far ends in the list now")
-	gauge(&s.Avoided, "far_ends_avoided", "of them, those that get trial calls only")
+	gauge(&s.FarEndsListed, "far_ends_listed", "far ends in the list now")
+	gauge(&s.FarEndsAvoided, "far_ends_avoided", "of them, those that get trial calls only")
 	add(&s.Drains, "drains_total", "times operators had callers sent away")
 	add(&s.Probes, "probes_total", "tests sent to far ends")
 	add(&s.Reports, "reports_total", "load and group reports heard")
 	add(&s.LinksUp, "links_up_total", "connections opened to far ends")
 	add(&s.LinksLost, "links_lost_total", "connections to far ends that ended")
 	add(&s.DialsFailed, "dials_failed_total", "connections to far ends that did not come up")
-	add(&s.SilentLinks, "links_silent_total", "connections closed because nothing was heard on them")
-	add(&s.StuckLinks, "links_stuck_total", "connections closed because they stayed open and were of no more use")
+	add(&s.IdleLinks, "links_silent_total", "connections closed because nothing was heard on them")
+	add(&s.StalledLinks, "links_stuck_total", "connections closed because they stayed open and were of no more use")
 	add(&s.ListEvents, "list_events_total", "events of the change log applied")
 	add(&s.ListGaps, "list_gaps_total", "events of the change log that were missed or came twice")
 	add(&s.ListReconnects, "list_reconnects_total", "connections opened to the change log")
 	add(&s.Reloads, "reloads_total", "times the configuration was read anew")
 	add(&s.ReloadsFailed, "reloads_failed_total", "times the configuration read anew could not be used")
 	add(&s.Malformed, "malformed_total", "messages that could not be read")
-	add(&s.Stray, "stray_total", "messages about calls or transactions that are not known")
-	add(&s.Repeated, "repeated_total", "messages that came again and were not acted on twice")
-	gauge(&s.CallersIn, "caller_connections", "connections that callers hold now")
-	add(&s.CallersSilent, "callers_silent_total", "callers' connections closed since no whole message came in time")
+	add(&s.StrayMessages, "stray_total", "messages about calls or transactions that are not known")
+	add(&s.Duplicates, "repeated_total", "messages that came again and were not acted on twice")
+	gauge(&s.CallerConnections, "caller_connections", "connections that callers hold now")
+	add(&s.CallersTimedOut, "callers_silent_total", "callers' connections closed since no whole message came in time")
 	add(&s.CallersEvicted, "callers_evicted_total", "callers' connections without a set-up closed to make room")
-	add(&s.Flooded, "flooded_total", "set-ups refused at the door since a connection, or all together, sent too many")
+	add(&s.RateLimited, "flooded_total", "set-ups refused at the door since a connection, or all together, sent too many")
 	add(&s.Violations, "violations_total", "conditions that must hold and did not")
 	add(&s.Panics, "panics_total", "decisions that failed")
 	add(&s.LateAnswers, "late_answers_total", "final answers that the core gave itself, at the deadline, at the end, or to callers sent away")
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -70,7 +70,7 @@
 	defer srv.Close()
 	s := New()
 	s.Answered.Add(7)
-	r := &Remote{URL: srv.URL, Labels: map[string]string{"agent": "n3", "zone": "a"}}
+	r := &RemoteWriter{URL: srv.URL, Labels: map[string]string{"agent": "n3", "zone": "a"}}
 	now := time.UnixMilli(1700000000123)
 	if err := r.Push(context.Background(), srv.Client(), s, now); err != nil {
 		t.Fatal(err)
--- a/internal/metrics/remote.go
+++ b/internal/metrics/remote.go
@@ -15,15 +15,15 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Remote pushes the counters by Prometheus remote write, version 1.
-type Remote struct {
-	URL    string
-	Every  time.Duration
-	Labels map[string]string // put on every series, beside __name__
+// RemoteWriter pushes the counters by Prometheus remote write, version 1.
+type RemoteWriter struct {
+	URL      string
+	Interval time.Duration
+	Labels   map[string]string // put on every series, beside __name__
 }
 
 // Encode writes a WriteRequest with the present values, uncompressed.
-func (r *Remote) Encode(s *Set, now time.Time) []byte {
+func (r *RemoteWriter) Encode(s *Set, now time.Time) []byte {
 	var out []byte
 	for _, c := range s.All() {
 		labels := map[string]string{"__name__": c.Name}
@@ -54,7 +54,7 @@
 }
 
 // Push sends the present values once.
-func (r *Remote) Push(ctx context.Context, client *http.Client, s *Set, now time.Time) error {
+func (r *RemoteWriter) Push(ctx context.Context, client *http.Client, s *Set, now time.Time) error {
 	body := snappy.Encode(nil, r.Encode(s, now))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.URL, bytes.NewReader(body))
 	if err != nil {
@@ -78,8 +78,8 @@
 
 // Run pushes until the context ends, and once more then. A push that fails is counted and not repeated: counters only
 // grow, so the next one carries all that it had.
-func (r *Remote) Run(ctx context.Context, s *Set, failed func(error)) {
-	every := r.Every
+func (r *RemoteWriter) Run(ctx context.Context, s *Set, failed func(error)) {
+	every := r.Interval
 	if every <= 0 {
 		every = 15 * time.Second
 	}
--- a/internal/mgcp/front.go
+++ b/internal/mgcp/front.go
@@ -18,34 +18,34 @@
 
 // Gateway is one gateway in the operator's file.
 type Gateway struct {
-	Name    string   // the domain of its endpoints, as in aaln/1@NAME
-	Address string   // where it takes commands
-	ID      uint32   // as a far end
-	Place   int      // its number in the network; calls with this destination go to it
-	Zone    int      // its district
-	Lines   []string // local names of its endpoints
-	Rings   bool     // its lines ring and are answered by hand; else a connection stands at once
-	Class   string   // the class of the calls that it brings in
+	Name         string   // the domain of its endpoints, as in aaln/1@NAME
+	Address      string   // where it takes commands
+	ID           uint32   // as a far end
+	Exchange     int      // its number in the network; calls with this destination go to it
+	Zone         int      // its district
+	Lines        []string // local names of its endpoints
+	ManualAnswer bool     // its lines ring and are answered by hand; else a connection stands at once
+	Class        string   // the class of the calls that it brings in
 }
 
 // Route sends the numbers that begin with Prefix to a place.
 type Route struct {
-	Prefix string
-	Place  int
+	Prefix   string
+	Exchange int
 }
 
-// Plan is what the operator's file says of this front.
-type Plan struct {
+// Config is what the operator's file says of this front.
+type Config struct {
 	Gateways []Gateway
 	Routes   []Route
-	Digits   string // the digit map handed to gateways
+	DigitMap string // the digit map handed to gateways
 }
 
-// Front is the MGCP front: caller side and far side of the core at once. It lives on the core's loop.
-type Front struct {
+// FrontEnd is the MGCP front: caller side and far side of the core at once. It lives on the core's loop.
+type FrontEnd struct {
 	core    *agent.Core
 	log     *zap.Logger
-	plan    Plan
+	plan    Config
 	tx      *transactions
 	byName  map[string]*gateway
 	byID    map[uint32]*gateway
@@ -95,8 +95,8 @@
 }
 
 // New makes the front and takes its gateways into the list.
-func New(core *agent.Core, log *zap.Logger, plan Plan, seed uint64, send Send) *Front {
-	f := &Front{core: core, log: log, plan: plan, byName: map[string]*gateway{}, byID: map[uint32]*gateway{},
+func New(core *agent.Core, log *zap.Logger, plan Config, seed uint64, send Send) *FrontEnd {
+	f := &FrontEnd{core: core, log: log, plan: plan, byName: map[string]*gateway{}, byID: map[uint32]*gateway{},
 		rng: rand.New(rand.NewPCG(seed, 0x36c9))}
 	f.tx = newTransactions(core.Loop, core.M, f.rng.Uint32(), send, f.command)
 	for _, g := range plan.Gateways {
@@ -120,14 +120,14 @@
 	return f
 }
 
-// Datagram takes what came in from an address.
-func (f *Front) Datagram(from netip.AddrPort, b []byte) { f.tx.datagram(from, b) }
+// HandleDatagram takes what came in from an address.
+func (f *FrontEnd) HandleDatagram(from netip.AddrPort, b []byte) { f.tx.datagram(from, b) }
 
 // list tells the core of changed gateways, and of their free lines.
-func (f *Front) list(changed ...*gateway) {
+func (f *FrontEnd) list(changed ...*gateway) {
 	entries := make([]tinbeam.Entry, len(changed))
 	for i, gw := range changed {
-		entries[i] = tinbeam.Entry{Switch: gw.ID, Zone: gw.Zone, Place: gw.Place, Mode: gw.mode, Scale: 1,
+		entries[i] = tinbeam.Entry{Switch: gw.ID, Zone: gw.Zone, Place: gw.Exchange, Mode: gw.mode, Scale: 1,
 			OnlineSince: gw.since, Leaf: true}
 	}
 	f.version++
@@ -138,7 +138,7 @@
 }
 
 // report tells the core of the free lines of a gateway: to the module they are a group of circuits.
-func (f *Front) report(gw *gateway) {
+func (f *FrontEnd) report(gw *gateway) {
 	free := 0
 	for _, l := range gw.lines {
 		if l.idle() {
@@ -162,23 +162,23 @@
 func (l *line) idle() bool { return l.caller == nil && l.called == nil && !l.closing }
 
 // notify asks a line to tell of events, and gives it signals; an empty one stops what sounds.
-func (f *Front) notify(l *line, m *Message, events, signals string) *Message {
+func (f *FrontEnd) notify(l *line, m *Message, events, signals string) *Message {
 	l.lastReq = f.rng.Uint32()
 	m.With("X", fmt.Sprintf("%X", l.lastReq)).With("R", events)
-	if strings.Contains(events, "D/") && f.plan.Digits != "" {
-		m.With("D", f.plan.Digits)
+	if strings.Contains(events, "D/") && f.plan.DigitMap != "" {
+		m.With("D", f.plan.DigitMap)
 	}
 	return m.With("S", signals)
 }
 
 // arm makes an idle line ready for a caller who lifts the receiver.
-func (f *Front) arm(l *line) {
+func (f *FrontEnd) arm(l *line) {
 	f.tx.request(l.gw.addr, f.notify(l, &Message{Verb: "RQNT", Endpoint: l.name}, "L/hd(N)", ""), nil)
 }
 
 // --- commands of gateways ---
 
-func (f *Front) command(from netip.AddrPort, m *Message, reply func(*Message)) {
+func (f *FrontEnd) command(from netip.AddrPort, m *Message, reply func(*Message)) {
 	ok := func() { reply(&Message{Code: 200, Comment: "OK"}) }
 	local, domain, _ := strings.Cut(m.Endpoint, "@")
 	gw := f.byName[strings.ToLower(domain)]
@@ -223,7 +223,7 @@
 
 // restart takes an RSIP. What stood at a gateway that starts anew is over, and is ended once: its lines hold nothing
 // afterwards, so a second RSIP finds nothing to end.
-func (f *Front) restart(gw *gateway, lines []*line, whole bool, m *Message) {
+func (f *FrontEnd) restart(gw *gateway, lines []*line, whole bool, m *Message) {
 	f.core.M.MGCPRestarts.Inc()
 	method, _ := m.Get("RM")
 	f.log.Info("gateway restarts", zap.String("gateway", gw.Name), zap.String("method", method))
@@ -277,7 +277,7 @@
 
 // lost ends what a line serves without a word to the gateway, which does not hold it any more. Only a CRCX that is still
 // out may come to it after its restart, and what that makes has to be deleted.
-func (f *Front) lost(l *line, code tinbeam.Code, cause int) {
+func (f *FrontEnd) lost(l *line, code tinbeam.Code, cause int) {
 	called, caller := l.called, l.caller
 	l.called, l.caller, l.closing = nil, nil, false
 	if called != nil && !called.ended {
@@ -298,7 +298,7 @@
 }
 
 // left tells the core that the caller of a leg is not there any more.
-func (f *Front) left(leg *callerLeg, cause int) {
+func (f *FrontEnd) left(leg *callerLeg, cause int) {
 	switch {
 	case leg.call == nil:
 	case leg.call.Standing():
@@ -309,7 +309,7 @@
 }
 
 // observed takes what a line has seen, event by event.
-func (f *Front) observed(l *line, events []string) {
+func (f *FrontEnd) observed(l *line, events []string) {
 	for _, e := range events {
 		switch {
 		case e == "l/hd":
@@ -328,7 +328,7 @@
 	}
 }
 
-func (f *Front) offHook(l *line) {
+func (f *FrontEnd) offHook(l *line) {
 	if leg := l.called; leg != nil {
 		if !leg.ended && leg.conn != "" && !leg.at.Standing() {
 			f.answered(leg)
@@ -343,7 +343,7 @@
 	f.tx.request(l.gw.addr, f.notify(l, &Message{Verb: "RQNT", Endpoint: l.name}, "D/[0-9*#T](D), L/hu(N)", "L/dl"), nil)
 }
 
-func (f *Front) onHook(l *line) {
+func (f *FrontEnd) onHook(l *line) {
 	if leg := l.caller; leg != nil {
 		was := leg.ended
 		leg.ended = true
@@ -364,7 +364,7 @@
 // clear deletes the connection that a line has or may have, and makes the line free once that is done. A CRCX that is
 // still out is not sent again, and if it is answered after all, what it made is deleted too: a transaction that is
 // retried after its call is over must leave no connection behind. Without a call there is nothing to delete.
-func (f *Front) clear(l *line, callID, conn string, create *transaction) {
+func (f *FrontEnd) clear(l *line, callID, conn string, create *transaction) {
 	f.tx.hush(create)
 	free := func(*Message) {
 		l.closing = false
@@ -385,7 +385,7 @@
 }
 
 // orphan deletes a connection that a late response told of.
-func (f *Front) orphan(l *line, callID string, r *Message) {
+func (f *FrontEnd) orphan(l *line, callID string, r *Message) {
 	if r == nil || r.Code >= 300 {
 		return
 	}
@@ -397,13 +397,13 @@
 // --- caller side: calls that gateways bring in ---
 
 // originate opens the caller's own half, and offers the call once its description is known.
-func (f *Front) originate(leg *callerLeg) {
+func (f *FrontEnd) originate(leg *callerLeg) {
 	l := leg.line
 	place := -1
 	best := -1
 	for _, r := range f.plan.Routes {
 		if strings.HasPrefix(leg.digits, r.Prefix) && len(r.Prefix) > best {
-			place, best = r.Place, len(r.Prefix)
+			place, best = r.Exchange, len(r.Prefix)
 		}
 	}
 	if place < 0 {
@@ -438,7 +438,7 @@
 }
 
 // tone tells the caller that there is no call; the line waits for the receiver to be put down.
-func (f *Front) tone(leg *callerLeg, signal string) {
+func (f *FrontEnd) tone(leg *callerLeg, signal string) {
 	leg.ended = true
 	l := leg.line
 	m := &Message{Verb: "RQNT", Endpoint: l.name}
@@ -450,7 +450,7 @@
 }
 
 // Answer connects the caller with the far end.
-func (f *Front) Answer(k *agent.Call, description string) {
+func (f *FrontEnd) Answer(k *agent.Call, description string) {
 	leg := k.Leg.(*callerLeg)
 	l := leg.line
 	m := (&Message{Verb: "MDCX", Endpoint: l.name, SDP: description}).With("C", k.ID).With("I", leg.conn).
@@ -464,14 +464,14 @@
 }
 
 // Refuse gives the caller the tone for no way through.
-func (f *Front) Refuse(k *agent.Call, failed bool, _ time.Duration) {
+func (f *FrontEnd) Refuse(k *agent.Call, failed bool, _ time.Duration) {
 	if leg := k.Leg.(*callerLeg); !leg.ended {
 		f.tone(leg, "L/ro")
 	}
 }
 
 // Release tells the caller that the call is over.
-func (f *Front) Release(k *agent.Call, cause int) {
+func (f *FrontEnd) Release(k *agent.Call, cause int) {
 	if leg := k.Leg.(*callerLeg); !leg.ended {
 		f.tone(leg, "L/bz")
 	}
@@ -480,12 +480,13 @@
 // --- far side: attempts towards gateways ---
 
 // farSide is the front as the core's far side: both sides have a Release, so one type cannot be both.
-type farSide struct{ *Front }
+type farSide struct{ *FrontEnd }
 
 // SetUp makes a connection at a free line. A gateway is the end of a way: it takes calls for itself alone.
 func (f farSide) SetUp(a *agent.Attempt) {
 	gw := f.byID[a.Switch]
-	if !must.Must(gw != nil && a.Call.Dest == gw.Place, f.core.M.Violations, "call %s is for gateway %08x", a.Call.ID, a.Switch) {
+	if !must.Must(gw != nil && a.Call.Dest == gw.Exchange, f.core.M.Violations, "call %s is for gateway %08x",
+		a.Call.ID, a.Switch) {
 		f.core.Ended(a, tinbeam.Moot, 0, nil, 0)
 		return
 	}
@@ -498,7 +499,7 @@
 	leg := &calledLeg{line: l, at: a}
 	a.Leg, l.called = leg, leg
 	m := (&Message{Verb: "CRCX", Endpoint: l.name, SDP: a.Call.Description}).With("C", a.Call.ID)
-	if gw.Rings {
+	if gw.ManualAnswer {
 		m = f.notify(l, m.With("M", "inactive"), "L/hd(N)", "L/rg")
 	} else {
 		m = f.notify(l, m.With("M", "sendrecv"), "L/hu(N)", "")
@@ -508,7 +509,7 @@
 }
 
 // created takes the response to the CRCX of an attempt.
-func (f *Front) created(leg *calledLeg, r *Message) {
+func (f *FrontEnd) created(leg *calledLeg, r *Message) {
 	leg.create = nil
 	l, a := leg.line, leg.at
 	if leg.ended {
@@ -519,7 +520,7 @@
 		leg.conn, _ = r.Get("I")
 		leg.sdp = r.SDP
 		if leg.conn != "" {
-			if !l.gw.Rings {
+			if !l.gw.ManualAnswer {
 				f.answered(leg)
 			}
 			return
@@ -547,9 +548,9 @@
 }
 
 // answered: the called side has answered.
-func (f *Front) answered(leg *calledLeg) {
+func (f *FrontEnd) answered(leg *calledLeg) {
 	l := leg.line
-	if l.gw.Rings {
+	if l.gw.ManualAnswer {
 		m := (&Message{Verb: "MDCX", Endpoint: l.name}).With("C", leg.at.Call.ID).With("I", leg.conn).
 			With("M", "sendrecv")
 		f.tx.request(l.gw.addr, f.notify(l, m, "L/hu(N)", ""), nil)
--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -161,7 +161,7 @@
 		}
 	}
 	if x == nil || x.to != from {
-		t.m.Stray.Inc()
+		t.m.StrayMessages.Inc()
 		return
 	}
 	if m.Code < 200 {
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -226,7 +226,7 @@
 		s.came++
 		c.num, c.at = s.came, s.core.Now()
 		s.conns = append(s.conns, c)
-		s.core.M.CallersIn.Set(int64(len(s.conns)))
+		s.core.M.CallerConnections.Set(int64(len(s.conns)))
 		if len(s.conns) > s.room {
 			s.evict()
 		}
@@ -261,7 +261,7 @@
 	}
 	c.over = true
 	s.conns = slices.DeleteFunc(s.conns, func(o *callerConn) bool { return o == c })
-	s.core.M.CallersIn.Set(int64(len(s.conns)))
+	s.core.M.CallerConnections.Set(int64(len(s.conns)))
 	for _, id := range slices.Sorted(maps.Keys(c.legs)) {
 		if leg := c.legs[id]; leg.open { // a call that stands belongs to no connection
 			s.forget(id)
@@ -312,7 +312,7 @@
 		// reading it.
 		size := int64(n)
 		if c.ahead.Add(1) > aheadMost || c.side.ahead.Add(size) > int64(c.side.most) {
-			core.M.Flooded.Inc()
+			core.M.RateLimited.Inc()
 			if m.Method != "" && m.Method != "ACK" {
 				l.Send(m.Response(503, "Service Unavailable", "").Append(nil), nil)
 			}
@@ -430,11 +430,11 @@
 // unknown answers a request about a call that is not there: one that is just over was told so, any other never was.
 func (s *Callers) unknown(c *callerConn, id string, m *sip.Message) {
 	if _, ok := s.done[id]; ok {
-		s.core.M.Repeated.Inc()
+		s.core.M.Duplicates.Inc()
 		c.send(m.Response(200, "OK", ""))
 		return
 	}
-	s.core.M.Stray.Inc()
+	s.core.M.StrayMessages.Inc()
 	c.send(m.Response(481, "Call/Transaction Does Not Exist", ""))
 }
 
@@ -483,7 +483,7 @@
 	switch {
 	case done && on == c.num, leg != nil && leg.conn == c &&
 		(!leg.open || leg.call.Description == m.Body && leg.call.Number == m.User()):
-		s.core.M.Repeated.Inc()
+		s.core.M.Duplicates.Inc()
 		return
 	case leg != nil && leg.open && leg.conn == c:
 		// Two requests of one id on one connection: no answer to either could be told from the other's.
@@ -495,7 +495,7 @@
 		c.end()
 		return
 	case leg != nil || done:
-		s.core.M.Repeated.Inc()
+		s.core.M.Duplicates.Inc()
 		c.wrongly(m, 482, "Loop Detected")
 		return
 	}
@@ -512,7 +512,7 @@
 		leg.size += len(h.Name) + len(h.Value)
 	}
 	if s.leaving || s.refuse || c.open >= openMost || s.held+leg.size > s.most {
-		s.core.M.Flooded.Inc()
+		s.core.M.RateLimited.Inc()
 		s.core.Declined(k)
 		c.send(m.Response(503, "Service Unavailable", ""))
 		c.dismiss()
@@ -711,7 +711,7 @@
 	for _, c := range slices.Clone(s.conns) {
 		// Guards the descriptors against those that open a connection, or begin a message, and say nothing more.
 		if !c.said && s.core.Now()-c.at > silentMost || c.link.Stuck() > silentMost {
-			s.core.M.CallersSilent.Inc()
+			s.core.M.CallersTimedOut.Inc()
 			c.link.Close()
 			c.end()
 		}
--- a/internal/platform/fars.go
+++ b/internal/platform/fars.go
@@ -157,7 +157,7 @@
 		for _, a := range x.sorted() {
 			l := a.Leg.(*leg)
 			if !a.Standing() && (l.conn == nil || l.ticket.Withdraw()) {
-				x.fars.core.M.AttemptsTakenBack.Inc()
+				x.fars.core.M.AttemptsWithdrawn.Inc()
 				x.forget(a)
 				x.fars.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
 			}
@@ -292,7 +292,7 @@
 	}
 	x.forget(a)
 	if l.conn == nil || l.ticket.Withdraw() {
-		f.core.M.AttemptsTakenBack.Inc()
+		f.core.M.AttemptsWithdrawn.Inc()
 		return
 	}
 	l.conn.link.Send((&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: farend.CauseNormal}).Append(nil), nil)
@@ -504,14 +504,14 @@
 	case farend.Staging, farend.Stopped:
 	case farend.Running:
 		if a == nil {
-			core.M.Stray.Inc() // it crossed the stop of its set-up, which ends it at the far end
+			core.M.StrayMessages.Inc() // it crossed the stop of its set-up, which ends it at the far end
 			return
 		}
 		a.Leg.(*leg).answered()
 		core.Answered(a, m.Body)
 	case farend.Stop:
 		if a == nil {
-			core.M.Stray.Inc()
+			core.M.StrayMessages.Inc()
 			return
 		}
 		if a.Standing() {
@@ -534,7 +534,7 @@
 	case farend.Checked:
 		at, ok := x.checks[m.UID]
 		if !ok {
-			core.M.Stray.Inc()
+			core.M.StrayMessages.Inc()
 			return
 		}
 		delete(x.checks, m.UID)
@@ -567,7 +567,7 @@
 	core := x.fars.core
 	for _, c := range slices.Clone(x.conns) {
 		if c.stuck(core.Now()) {
-			core.M.StuckLinks.Inc()
+			core.M.StalledLinks.Inc()
 			c.link.Close()
 		}
 	}
@@ -585,7 +585,7 @@
 	case quiet > silentAfter:
 		// A machine that vanished or is cut off says nothing, its connections stay open, and no new one came up.
 		x.fars.log.Warn("far end is silent", zap.String("id", changelog.FormatID(x.id)), zap.Int("calls", len(x.attempts)))
-		core.M.SilentLinks.Inc()
+		core.M.IdleLinks.Inc()
 		x.cut(core.Now())
 		x.hangUp()
 	case quiet > testAfter && !x.testing:
