--- a/cmd/tinbeam/serve.go
+++ b/cmd/tinbeam/serve.go
@@ -57,7 +57,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s listens on %s; own number %d of %d, %d classes, %d events known, change log %q\n",
-		c.Name, c.Listen, c.Settings.Index, c.Settings.Replicas, len(c.Settings.Classes), len(c.KnownEvents), c.Changelog)
+		c.Name, c.Listen, c.Settings.ReplicaIndex, c.Settings.Replicas, len(c.Settings.Classes), len(c.KnownEvents), c.Changelog)
 	if op.MGCPListen != "" {
 		fmt.Fprintf(out, "mgcp listens on %s for %d gateways\n", op.MGCPListen, len(op.MGCP.Gateways))
 	}
--- a/controller.go
+++ b/controller.go
@@ -189,14 +189,14 @@
 }
 
 // New starts a controller without any knowledge. Absent or senseless settings: no classes is one without
-// an aim (sent at once or refused); absent waits are zero, no cold time is no warm-up; ColdFrom outside
-// (0, 1] is a tenth; MostTries below 1 is 1; a class not called free is not repeated once it may have run.
+// an aim (sent at once or refused); absent waits are zero, no cold time is no warm-up; WarmUpStart outside
+// (0, 1] is a tenth; MaxAttempts below 1 is 1; a class not called free is not repeated once it may have run.
 func New(s Settings, seed uint64) *Controller {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{}}
 	}
 	c := &Controller{rng: rand.New(rand.NewPCG(seed, 0x5707e)), ids: map[uint32]int{},
-		own: &exchange{name: "own exchange", place: s.Home, via: -1, free: math.Inf(1),
+		own: &exchange{name: "own exchange", place: s.LocalExchange, via: -1, free: math.Inf(1),
 			reached: map[int]bool{}, blocked: map[int]time.Duration{}},
 		zones: map[int]*exchange{}, calls: map[uint32]*call{}, numbers: map[uint64]*number{},
 		round: [3]float64{1, 1, 1}, pass: 1}
@@ -208,17 +208,17 @@
 // apply takes settings, at the start and later. What has been learnt of exchanges and numbers stays.
 func (c *Controller) apply(s Settings) {
 	s.Classes = slices.Clone(s.Classes)
-	s.MostTries, s.Replicas = max(s.MostTries, 1), max(s.Replicas, 2)
-	if !(s.Rules.ColdFrom > 0 && s.Rules.ColdFrom <= 1) {
-		s.Rules.ColdFrom = 0.1
+	s.MaxAttempts, s.Replicas = max(s.MaxAttempts, 1), max(s.Replicas, 2)
+	if !(s.Rules.WarmUpStart > 0 && s.Rules.WarmUpStart <= 1) {
+		s.Rules.WarmUpStart = 0.1
 	}
 	aim, span, was := math.Inf(1), time.Duration(0), c.set.Classes // the tightest aim, the longest hold
 	for i := range s.Classes {
 		k := &s.Classes[i]
-		k.Width, k.Gain = positive(k.Width, 1), positive(k.Gain, 1)
+		k.Width, k.Value = positive(k.Width, 1), positive(k.Value, 1)
 		k.MeanHold = time.Duration(positive(float64(k.MeanHold), float64(memory)))
-		if k.Aim > 0 && !k.Retired {
-			aim = min(aim, k.Aim.Seconds())
+		if k.AnswerTarget > 0 && !k.Retired {
+			aim = min(aim, k.AnswerTarget.Seconds())
 		}
 		if !k.Retired {
 			span = max(span, min(k.MeanHold, memory))
@@ -236,8 +236,8 @@
 	// A set-up waits at two processors and is answered through both, so each may take a third of the
 	// tightest aim; and none may wait long enough for the set-up to be sent again.
 	c.target = aim / 2
-	if s.Resend > 0 {
-		c.target = min(c.target, s.Resend.Seconds()/2)
+	if s.ResendInterval > 0 {
+		c.target = min(c.target, s.ResendInterval.Seconds()/2)
 	}
 	c.others = min(max(2*float64(s.Replicas-2), 1), 8)
 	// Danger: where aims are a fraction of a second and calls last about one, a T that changes each half
@@ -245,7 +245,7 @@
 	// calls' length, up to the figures above.
 	c.beat, c.span = min(defaultGap, time.Duration(aim*float64(time.Second)/2.4)), span
 	for _, k := range c.calls {
-		k.most = min(k.most, s.MostTries) // an open call's are never more than either told
+		k.most = min(k.most, s.MaxAttempts) // an open call's are never more than either told
 	}
 }
 
@@ -332,23 +332,23 @@
 	}
 	listed := map[uint32]bool{}
 	for _, n := range t.Entries {
-		if n.Place < 0 {
+		if n.ExchangeNumber < 0 {
 			continue
 		}
-		c.places = append(c.places, make([]*exchange, max(n.Place+1-len(c.places), 0))...)
-		x := c.places[n.Place]
+		c.places = append(c.places, make([]*exchange, max(n.ExchangeNumber+1-len(c.places), 0))...)
+		x := c.places[n.ExchangeNumber]
 		if x == nil {
-			x = &exchange{name: fmt.Sprint("exchange ", n.Place), place: n.Place, size: -1, via: -1,
-				least: c.target, blocked: map[int]time.Duration{}, reached: map[int]bool{}}
-			if n.Place == c.set.Home {
+			x = &exchange{name: fmt.Sprint("exchange ", n.ExchangeNumber), place: n.ExchangeNumber,
+				size: -1, via: -1, least: c.target, blocked: map[int]time.Duration{}, reached: map[int]bool{}}
+			if n.ExchangeNumber == c.set.LocalExchange {
 				x = c.own
 			}
 			if c.zones[n.Zone] == nil {
 				c.zones[n.Zone] = &exchange{name: fmt.Sprint("district ", n.Zone), place: -1}
 			}
-			c.places[n.Place], x.zone = x, c.zones[n.Zone]
+			c.places[n.ExchangeNumber], x.zone = x, c.zones[n.Zone]
 		}
-		c.ids[n.Switch] = n.Place
+		c.ids[n.Switch] = n.ExchangeNumber
 		listed[n.Switch] = true
 		switch {
 		case n.Mode != Ready:
@@ -363,8 +363,8 @@
 				x.id, x.out, x.gap, x.bad, x.wait, x.answered = n.Switch, nil, gap{}, 0, 0, 0
 			}
 			was := x.since
-			x.ready, x.since, x.silent, x.least, x.leaf = true, n.OnlineSince, false, c.target, n.Leaf
-			if x.since != was && x.since > 0 && c.now-x.since < c.set.Rules.Cold {
+			x.ready, x.since, x.silent, x.least, x.leaf = true, n.OnlineSince, false, c.target, n.NoTransit
+			if x.since != was && x.since > 0 && c.now-x.since < c.set.Rules.WarmUp {
 				c.warm(x)
 			}
 		}
@@ -388,15 +388,16 @@
 // part of the capacity, from all others and as much from the own exchange, the sum stays under at any size.
 func (c *Controller) warm(x *exchange) {
 	age := c.now - x.since
-	if age >= c.set.Rules.Cold {
+	if age >= c.set.Rules.WarmUp {
 		if x.gap.floor > 0 {
 			x.gap.floor = 0
 			c.note("%s: warm-up ends", x.name)
 		}
 		return
 	}
-	part := c.set.Rules.ColdFrom + (1-c.set.Rules.ColdFrom)*max(age.Seconds(), 0)/c.set.Rules.Cold.Seconds()
-	share := max(c.best, 1) * math.Sqrt(max(c.set.Rules.FallMultiple, 1))
+	part := c.set.Rules.WarmUpStart +
+		(1-c.set.Rules.WarmUpStart)*max(age.Seconds(), 0)/c.set.Rules.WarmUp.Seconds()
+	share := max(c.best, 1) * math.Sqrt(max(c.set.Rules.OverloadMultiple, 1))
 	if x != c.own {
 		share /= float64(c.set.Replicas - 1)
 	}
@@ -415,38 +416,38 @@
 func (c *Controller) offer(o Offer) {
 	o.Class = min(max(o.Class, 0), len(c.set.Classes)-1)
 	o.Width = positive(o.Width, c.set.Classes[o.Class].Width)
-	if o.Opts&OptTransit == 0 && !c.set.MarksRedial && o.Number != 0 {
+	if o.Flags&FlagTransit == 0 && !c.set.MarksRedial && o.Number != 0 {
 		// Callers here do not mark a redial; a number that was just refused and is called again tells one.
 		if n := c.numbers[o.Number]; n != nil && c.now < n.redial {
-			o.Opts |= OptRedial
+			o.Flags |= FlagRedial
 		}
 	}
-	k := &call{Offer: o, at: c.now, deadline: c.now + max(o.TTL, 0), most: c.set.MostTries,
+	k := &call{Offer: o, at: c.now, deadline: c.now + max(o.TimeLeft, 0), most: c.set.MaxAttempts,
 		tried: map[int]bool{}}
 	c.calls[o.Ref] = k
 	d := c.at(o.Dest)
-	if o.Opts&OptTransit == 0 && d != nil && c.at(o.Via) != nil {
+	if o.Flags&FlagTransit == 0 && d != nil && c.at(o.Via) != nil {
 		d.reached[o.Via] = true
 	}
-	if o.Opts&(OptTransit|OptRedial) == 0 {
+	if o.Flags&(FlagTransit|FlagRedial) == 0 {
 		c.offered[o.Class] = c.offered[o.Class]*0.998 + 1
 		c.served[o.Class] *= 0.998
 	}
-	k.until = min(k.deadline-2*look, c.now+c.set.Classes[o.Class].Aim)
+	k.until = min(k.deadline-2*look, c.now+c.set.Classes[o.Class].AnswerTarget)
 	if d != nil {
 		// Held to the end of the aim, it would stand too late for its worth: leave room for the answer.
-		margin := min(d.wait, c.set.Classes[o.Class].Aim.Seconds()/2)
+		margin := min(d.wait, c.set.Classes[o.Class].AnswerTarget.Seconds()/2)
 		k.until = max(k.until-time.Duration(margin*float64(time.Second)), c.now)
 	}
-	if d == nil || !d.ready || d == c.own && o.Opts&OptTransit != 0 ||
+	if d == nil || !d.ready || d == c.own && o.Flags&FlagTransit != 0 ||
 		!c.numberOf(o.Number).gap.allows(c.now) {
 		c.finish(k) // refused at source; a number repeatedly busy is not waited for
 		return
 	}
-	if o.Opts&(OptTransit|OptRedial) != 0 {
+	if o.Flags&(FlagTransit|FlagRedial) != 0 {
 		// In transit it holds circuits of the group it came over; a redial is past its aim, and its set-up
 		// would take room from calls in time. On at once, or back at once.
-		if d.gap.open && o.Opts&OptTransit == 0 || !c.admit(k) {
+		if d.gap.open && o.Flags&FlagTransit == 0 || !c.admit(k) {
 			c.finish(k)
 		}
 		return
@@ -460,14 +461,15 @@
 		c.act(GiveUp{Ref: k.Ref})
 	} else {
 		// Danger: callers turned away together dial again together. Spread them.
-		c.act(Decline{Ref: k.Ref, Pause: time.Duration((0.5 + c.rng.Float64()/2) * float64(c.set.MaxPause))})
+		c.act(Decline{Ref: k.Ref,
+			RetryAfter: time.Duration((0.5 + c.rng.Float64()/2) * float64(c.set.MaxRetryAfter))})
 	}
 	c.drop(k)
 }
 
 // spent tells that the call may have run and must neither be sent again nor refused.
 func (c *Controller) spent(k *call) bool {
-	return k.mayHaveRun && c.class(k).Repeat != "free"
+	return k.mayHaveRun && c.class(k).RepeatPolicy != "free"
 }
 
 func (c *Controller) class(k *call) *Class { return &c.set.Classes[k.Class] }
@@ -477,7 +479,7 @@
 	if k == nil {
 		return
 	}
-	if !k.stands && !c.set.MarksRedial && k.Opts&OptTransit == 0 {
+	if !k.stands && !c.set.MarksRedial && k.Flags&FlagTransit == 0 {
 		n := c.numberOf(k.Number)
 		c.numbers[k.Number], n.redial = n, k.at+c.class(k).HardLimit
 	}
@@ -506,16 +508,16 @@
 			continue
 		}
 		all += c.offered[i]
-		total += c.offered[i] * c.set.Classes[i].Gain
+		total += c.offered[i] * c.set.Classes[i].Value
 		if worst < 0 || c.served[i]*c.offered[worst] < c.served[worst]*c.offered[i] {
 			worst = i
 		}
 	}
 	c.pass++
-	wc := min(max(c.set.Blend.WorstClass, 0), 1)
+	wc := min(max(c.set.ScoreWeights.WorstClass, 0), 1)
 	for _, k := range c.held {
 		cl := c.class(k)
-		worth := (1 - wc) * cl.Gain * all / total
+		worth := (1 - wc) * cl.Value * all / total
 		if k.Class == worst {
 			worth += wc * all / c.offered[worst]
 		}
@@ -562,7 +564,7 @@
 	case c.spent(k), !c.own.gap.allows(c.now), !c.numberOf(k.Number).gap.allows(c.now):
 		return false
 	}
-	transit := k.Opts&OptTransit != 0
+	transit := k.Flags&FlagTransit != 0
 	need := k.Width
 	if transit {
 		need += c.reserve(d)
@@ -598,14 +600,14 @@
 // last tells that a call has met errors and has one try left. Danger: an exchange that answers errors to most
 // set-ups gets all tries of a call within a tenth of a second. The last one goes over a tandem, which has
 // tries of its own, and also over one that turned others back. May harm: two groups are used.
-func (k *call) last() bool { return k.erred && k.tries == k.most-1 && k.Opts&OptTransit == 0 }
+func (k *call) last() bool { return k.erred && k.tries == k.most-1 && k.Flags&FlagTransit == 0 }
 
 // tandem is the way round for a call whose direct group is full: the remembered tandem while it works, else
 // the advised one, else one known to reach the destination, else any: where many pairs have no group, most
 // of the others do not reach it either. Both processors must grant it; a pressed or cold one is no tandem.
 func (c *Controller) tandem(k *call, d *exchange) *exchange {
 	if d.zone.silent || !d.gap.allows(c.now) || c.numberOf(k.Number).gap.open || d.size != 0 &&
-		(c.own.gap.open || !k.last() && c.now < k.at+c.class(k).Aim/2) { // a circuit may come free
+		(c.own.gap.open || !k.last() && c.now < k.at+c.class(k).AnswerTarget/2) { // a circuit may come free
 		return nil
 	}
 	var pick [3]*exchange
@@ -640,8 +642,8 @@
 }
 
 func (c *Controller) allowed(k *call, place int) bool {
-	return !c.set.Pools || k.Class >= len(c.set.AllowedPools) || len(c.set.AllowedPools[k.Class]) == 0 ||
-		slices.Contains(c.set.AllowedPools[k.Class], place)
+	return !c.set.SharedPools || k.Class >= len(c.set.AllowedPools) ||
+		len(c.set.AllowedPools[k.Class]) == 0 || slices.Contains(c.set.AllowedPools[k.Class], place)
 }
 
 // send starts the attempt and spends from every stream that it loads.
@@ -667,11 +669,11 @@
 	}
 	// Danger: a jammed processor works through set-ups whose time has passed; one given up in time leaves its
 	// queue, or at least is not repeated, and the call may go another way.
-	wait := k.at + c.class(k).Aim - c.now
+	wait := k.at + c.class(k).AnswerTarget - c.now
 	if wait <= 0 {
-		wait = c.class(k).Aim
+		wait = c.class(k).AnswerTarget
 	}
-	c.act(Attempt{Ref: k.Ref, Switch: t.id, GiveUpAfter: wait})
+	c.act(Attempt{Ref: k.Ref, Switch: t.id, Timeout: wait})
 }
 
 // flowing: the call stands.
@@ -699,7 +701,7 @@
 		c.round[i] += (1 - c.round[i]) / 16
 		d.reached[k.to.place] = true
 	}
-	if k.Opts&(OptTransit|OptRedial) == 0 && c.now-k.at <= c.class(k).Aim {
+	if k.Flags&(FlagTransit|FlagRedial) == 0 && c.now-k.at <= c.class(k).AnswerTarget {
 		c.served[k.Class]++
 	}
 	c.returned(k)
@@ -740,8 +742,8 @@
 	return took-c.ownWait-x.least > c.most(x.least-c.own.least)
 }
 
-// Avoided is how many listed exchanges get trial calls only, since they do not answer.
-func (c *Controller) Avoided() int {
+// UnresponsiveCount is how many listed exchanges get trial calls only, since they do not answer.
+func (c *Controller) UnresponsiveCount() int {
 	n := 0
 	for _, x := range c.places {
 		if x != nil && x != c.own && x.ready && (x.silent || x.zone.silent) {
@@ -797,13 +799,13 @@
 			if note == NoteProcessor {
 				c.press(x, true)
 				c.failed()
-			} else if d := c.at(k.Dest); note == NoteTurnedBack && d != nil && d != c.own {
+			} else if d := c.at(k.Dest); note == NoteCrankback && d != nil && d != c.own {
 				d.blocked[x.place] = c.now + time.Duration(c.others*float64(c.beat))
 				c.round[wayTo(k, d, x.place)] *= 15. / 16
 				if d.via == x.place {
 					d.via = -1
 				}
-				if e.Note&NoteBeyond != 0 {
+				if e.Note&NoteOverloadBeyond != 0 {
 					c.press(d, true)
 				}
 			}
@@ -811,7 +813,7 @@
 	case Failed, TimedOut, Reset, Cancelled, ConnectFailed:
 		k.mayHaveRun = k.mayHaveRun || e.Code != ConnectFailed
 		if e.Code != Failed && e.Code != ConnectFailed {
-			k.notBefore = c.now + c.set.ReleaseWait
+			k.notBefore = c.now + c.set.ReleaseDelay
 		}
 		switch {
 		case note == NoteBusy && e.Code == Failed:
@@ -822,7 +824,7 @@
 				c.busy(k.Number)
 			}
 			k.until = c.now // the lines stay taken: no other route helps
-		case note == NoteLink: // the next set-up, on another connection, tells how the exchange is
+		case note == NoteLinkLost: // the next set-up, on another connection, tells how the exchange is
 		case e.Code == Failed:
 			// Danger: an error is an answer, and some calls get nothing else wherever they go. Taken for
 			// silence, a few of them shut a sound exchange out, and it comes back gapped.
@@ -834,7 +836,7 @@
 			// Danger: a crashed processor resets every set-up at once, and a call sent again and again
 			// burns its tries there. One may be chance, or a lost answer, which must not shut the stream; the
 			// second without an answer between is not. A hurried caller's time-out never means silence.
-			late, z := took >= c.class(k).Aim, x.zone
+			late, z := took >= c.class(k).AnswerTarget, x.zone
 			sure := e.Code != TimedOut || late && c.ownWait <= c.target // else: the own processor, or haste
 			if late {
 				c.failed()
@@ -854,7 +856,7 @@
 				c.press(x, false)
 			}
 		}
-	case Moot:
+	case NotAttempted:
 		if x != nil && direct && note == NoteNoCircuit {
 			x.free = min(x.free, k.Width-1)
 		}
@@ -863,10 +865,10 @@
 		}
 	}
 	switch {
-	case e.NoMore:
+	case e.Final:
 		c.drop(k)
-	case k.Opts&OptTransit != 0 && e.Code == Failed && note != NoteBusy && c.admit(k): // tries of the tandem
-	case e.Code == OK || k.stands || k.Opts&OptTransit != 0 || k.tries >= k.most ||
+	case k.Flags&FlagTransit != 0 && e.Code == Failed && note != NoteBusy && c.admit(k): // a tandem retries
+	case e.Code == OK || k.stands || k.Flags&FlagTransit != 0 || k.tries >= k.most ||
 		max(c.now, k.notBefore) >= k.until:
 		c.finish(k)
 	default:
--- a/controller_test.go
+++ b/controller_test.go
@@ -12,16 +12,16 @@
 
 func settings() Settings {
 	return Settings{
-		Index: 0, Replicas: 4, Home: 0, ReleaseWait: 200 * ms, MostTries: 4, MaxPause: 2 * time.Second,
+		ReplicaIndex: 0, Replicas: 4, LocalExchange: 0, ReleaseDelay: 200 * ms, MaxAttempts: 4, MaxRetryAfter: 2 * time.Second,
 		ReportFields: []string{"idle", "circuits", "mean_ms", "reduce"}, ReportHow: "inline", MarksRedial: true,
-		Rules: Rules{AnswerSlack: 20 * ms, DrainGrace: 250 * ms, Cold: 15 * time.Second, Fall: 2 * time.Second,
-			ColdFrom: 0.3, FallMultiple: 2},
-		Blend: Blend{Whole: 0.6, WorstClass: 0.2, WorstWindow: 0.2},
+		Rules: Rules{AnswerSlack: 20 * ms, DrainGrace: 250 * ms, WarmUp: 15 * time.Second, OverloadWindow: 2 * time.Second,
+			WarmUpStart: 0.3, OverloadMultiple: 2},
+		ScoreWeights: ScoreWeights{Overall: 0.6, WorstClass: 0.2, WorstWindow: 0.2},
 		Classes: []Class{
-			{Aim: 1500 * ms, HardLimit: 9 * time.Second, Gain: 1, LateValue: 0.1, Width: 1,
-				MeanHold: 10 * time.Second, Repeat: "free"},
-			{Aim: 2 * time.Second, HardLimit: 9 * time.Second, Gain: 3, LateValue: 0.2, Width: 4,
-				MeanHold: 15 * time.Second, Repeat: "free"}},
+			{AnswerTarget: 1500 * ms, HardLimit: 9 * time.Second, Value: 1, LateValueShare: 0.1, Width: 1,
+				MeanHold: 10 * time.Second, RepeatPolicy: "free"},
+			{AnswerTarget: 2 * time.Second, HardLimit: 9 * time.Second, Value: 3, LateValueShare: 0.2, Width: 4,
+				MeanHold: 15 * time.Second, RepeatPolicy: "free"}},
 	}
 }
 
@@ -44,7 +44,7 @@
 		sends: map[uint32][]time.Duration{}, to: map[uint32]uint32{}, wait: map[uint32]time.Duration{}}
 	var list []Entry
 	for p := 0; p < 4; p++ {
-		list = append(list, Entry{Switch: uint32(100 + p), Place: p, Mode: Ready, Zone: p % 2})
+		list = append(list, Entry{Switch: uint32(100 + p), ExchangeNumber: p, Mode: Ready, Zone: p % 2})
 	}
 	b.do(Topology{Kind: ListCached, Entries: list})
 	for p := 1; p < 4; p++ {
@@ -61,7 +61,7 @@
 		case Attempt:
 			b.tries[a.Ref]++
 			b.sends[a.Switch] = append(b.sends[a.Switch], b.now)
-			b.to[a.Ref], b.wait[a.Ref] = a.Switch, a.GiveUpAfter
+			b.to[a.Ref], b.wait[a.Ref] = a.Switch, a.Timeout
 			if b.final[a.Ref] != nil {
 				b.Fatalf("call %d sent after its final answer", a.Ref)
 			}
@@ -99,7 +99,7 @@
 func (b *bench) offer(dest int, more ...func(*Offer)) uint32 {
 	b.Helper()
 	b.ref++
-	o := Offer{Ref: b.ref, Number: uint64(b.ref) + 1000, Width: 1, TTL: 3 * time.Second, Dest: dest, Via: -1}
+	o := Offer{Ref: b.ref, Number: uint64(b.ref) + 1000, Width: 1, TimeLeft: 3 * time.Second, Dest: dest, Via: -1}
 	for _, f := range more {
 		f(&o)
 	}
@@ -212,7 +212,7 @@
 			t.Fatal("the tandem that works was not used again")
 		}
 	}
-	b.ends(r, uint32(100+via), Full, NoteTurnedBack)
+	b.ends(r, uint32(100+via), Full, NoteCrankback)
 	if b.c.places[1].via == via {
 		t.Error("the tandem is not redrawn after a block")
 	}
@@ -230,7 +230,7 @@
 	}
 	b.free(1, 4)
 	b.pass(20 * ms)
-	r = b.offer(1, func(o *Offer) { o.Opts, o.Via = OptTransit, 3 })
+	r = b.offer(1, func(o *Offer) { o.Flags, o.Via = FlagTransit, 3 })
 	if b.final[r] == nil {
 		t.Error("a call in transit took reserved circuits or was held")
 	}
@@ -316,11 +316,11 @@
 			}
 		}},
 		{"destination gone while held", func(b *bench, r uint32) {
-			b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Gone}}})
+			b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Gone}}})
 		}},
 		{"own processor down", func(b *bench, r uint32) {
 			b.free(1, 9)
-			b.ends(r, 101, Moot, NoteProcessor)
+			b.ends(r, 101, NotAttempted, NoteProcessor)
 		}},
 		{"reset", func(b *bench, r uint32) {
 			b.free(1, 9)
@@ -355,7 +355,7 @@
 	b := start(t, settings())
 	r := b.offer(1)
 	b.do(Withdrawn{Ref: r})
-	b.do(Outcome{Ref: r, Switch: 101, Code: Full, Note: NoteTurnedBack})
+	b.do(Outcome{Ref: r, Switch: 101, Code: Full, Note: NoteCrankback})
 	b.pass(time.Second)
 	if b.tries[r] != 1 || b.final[r] != nil {
 		t.Error("a call withdrawn was sent or answered again")
@@ -376,9 +376,10 @@
 // Rule 3: nothing to a machine that drains or is gone, nor one that a full list no longer has.
 func TestDrainsKept(t *testing.T) {
 	for _, e := range []Topology{
-		{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Draining}}},
-		{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Gone}}},
-		{Kind: ListFull, Entries: []Entry{{Switch: 102, Place: 2, Mode: Ready}, {Switch: 103, Place: 3, Mode: Ready}}},
+		{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Draining}}},
+		{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Gone}}},
+		{Kind: ListFull, Entries: []Entry{{Switch: 102, ExchangeNumber: 2, Mode: Ready},
+			{Switch: 103, ExchangeNumber: 3, Mode: Ready}}},
 	} {
 		b := start(t, settings())
 		b.do(e)
@@ -391,7 +392,7 @@
 		if b.sentTo(r) == 101 || b.c.places[2].via == 1 {
 			t.Errorf("%+v: used as a tandem", e)
 		}
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 201, Place: 1, Mode: Ready}}})
+		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 201, ExchangeNumber: 1, Mode: Ready}}})
 		b.do(Sampled{Switch: 201, Code: OK, Report: []float32{20, 60, -1, -1}})
 		if r := b.offer(1); b.sentTo(r) != 201 {
 			t.Errorf("%+v: the machine that replaces it gets nothing", e)
@@ -399,7 +400,7 @@
 	}
 }
 
-// Rule 4: within any Fall a cold exchange gets less than this controller's share of the breaking budget.
+// Rule 4: within any OverloadWindow a cold exchange gets less than this controller's share of the breaking budget.
 func TestColdIsNotPushedOver(t *testing.T) {
 	s := settings()
 	b := start(t, s)
@@ -407,14 +408,14 @@
 	for i := 0; i < 300; i++ {
 		r := b.offer(1 + i%3)
 		b.stand(r, uint32(101+i%3))
-		b.do(Outcome{Ref: r, Switch: uint32(101 + i%3), Code: OK, NoMore: true})
+		b.do(Outcome{Ref: r, Switch: uint32(101 + i%3), Code: OK, Final: true})
 		b.free(1+i%3, 30)
 		b.pass(100 * ms)
 	}
 	began := b.now
-	b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Ready, OnlineSince: began}}})
+	b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
 	before := len(b.sends[101])
-	for b.now < began+s.Rules.Cold {
+	for b.now < began+s.Rules.WarmUp {
 		for i := 0; i < 5; i++ {
 			b.offer(1)
 		}
@@ -427,14 +428,14 @@
 	for i, at := range sent {
 		n := 0
 		for _, x := range sent[i:] {
-			if x < at+s.Rules.Fall {
+			if x < at+s.Rules.OverloadWindow {
 				n++
 			}
 		}
-		part := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*(at-began).Seconds()/s.Rules.Cold.Seconds()
+		part := s.Rules.WarmUpStart + (1-s.Rules.WarmUpStart)*(at-began).Seconds()/s.Rules.WarmUp.Seconds()
 		// One more for the phase and one for the ramp: as many come in as go out, so the whole budget is twice this.
-		if most := s.Rules.FallMultiple*share*part*s.Rules.Fall.Seconds() + 2; float64(n) > most {
-			t.Fatalf("%v after the start: %d set-ups within %v, budget %.1f", at-began, n, s.Rules.Fall, most)
+		if most := s.Rules.OverloadMultiple*share*part*s.Rules.OverloadWindow.Seconds() + 2; float64(n) > most {
+			t.Fatalf("%v after the start: %d set-ups within %v, budget %.1f", at-began, n, s.Rules.OverloadWindow, most)
 		}
 	}
 	if len(sent) < 15 {
@@ -464,13 +465,13 @@
 	s.Replicas = 92
 	b := start(t, s)
 	began := b.now
-	b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Ready, OnlineSince: began}}})
+	b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
 	first := b.c.places[1].gap.every
 	sum := float64(s.Replicas-1) / first.Seconds() // set-ups a second from all far controllers
-	if most := s.Rules.FallMultiple * s.Rules.ColdFrom * 1.1; sum > most {
+	if most := s.Rules.OverloadMultiple * s.Rules.WarmUpStart * 1.1; sum > most {
 		t.Errorf("%.1f set-ups a second from all, want %.1f at most where one a second is known to stand", sum, most)
 	}
-	b.now = began + s.Rules.Cold/2
+	b.now = began + s.Rules.WarmUp/2
 	b.pass(20 * ms)
 	if now := b.c.places[1].gap.every; now > first*2/3 {
 		t.Errorf("T %v half way up the ramp, %v at its start", now, first)
@@ -528,7 +529,7 @@
 	b = start(t, settings())
 	r := b.offer(1)
 	b.stand(r, 101)
-	b.do(Outcome{Ref: r, Switch: 101, Code: Reset, NoMore: true})
+	b.do(Outcome{Ref: r, Switch: 101, Code: Reset, Final: true})
 	if b.c.places[1].bad != 0 {
 		t.Error("a cut of a standing call counts against the processor")
 	}
@@ -537,7 +538,7 @@
 // With the own processor down a call keeps its tries, and is sent once it is back.
 func TestOwnProcessorDown(t *testing.T) {
 	b := start(t, settings())
-	b.ends(b.offer(1), 101, Moot, NoteProcessor)
+	b.ends(b.offer(1), 101, NotAttempted, NoteProcessor)
 	r := b.offer(1)
 	b.pass(200 * ms)
 	if b.tries[r] != 0 {
@@ -611,7 +612,7 @@
 
 // Redials are past their aim: never held, and refused at source towards a pressed exchange.
 func TestRedialsAreNotHeld(t *testing.T) {
-	redial := func(o *Offer) { o.Opts = OptRedial }
+	redial := func(o *Offer) { o.Flags = FlagRedial }
 	b := start(t, settings())
 	b.free(1, 0)
 	b.free(2, 0)
@@ -640,7 +641,7 @@
 // A waiting wide call must not lose every freed circuit to narrower, lesser ones.
 func TestWideCallClaimsCircuits(t *testing.T) {
 	s := settings()
-	s.Blend.WorstClass = 0.9
+	s.ScoreWeights.WorstClass = 0.9
 	b := start(t, s)
 	for p := 1; p < 4; p++ {
 		b.free(p, 0)
@@ -661,7 +662,7 @@
 func TestUnsafeClassesAreNotRepeated(t *testing.T) {
 	for _, repeat := range []string{"single_shot", "guarded", ""} {
 		s := settings()
-		s.Classes[0].Repeat = repeat
+		s.Classes[0].RepeatPolicy = repeat
 		b := start(t, s)
 		r := b.offer(1)
 		b.ends(r, 101, TimedOut, 0)
@@ -699,7 +700,7 @@
 		Offer{Ref: 1, Class: 9, Dest: 5, Via: -1}, Topology{Kind: ListFull}, Topology{Kind: ListFailed},
 		Outcome{Ref: 99, Switch: 3, Code: Full}, Flowing{Ref: 99}, Withdrawn{Ref: 99}, TickDue{}, TickDue{Handle: 9},
 		Sampled{Switch: 4, Code: TimedOut}, Datagram{}, Offer{Ref: 2, Dest: -1},
-		Topology{Entries: []Entry{{Switch: 1, Place: 5, Mode: Ready, OnlineSince: 1}}}, Offer{Ref: 3, Dest: 5},
+		Topology{Entries: []Entry{{Switch: 1, ExchangeNumber: 5, Mode: Ready, OnlineSince: 1}}}, Offer{Ref: 3, Dest: 5},
 	} {
 		now += 5 * ms
 		c.Handle(now, e, nil)
@@ -742,15 +743,15 @@
 			place := 1 + int(y)%3
 			switch x % 7 {
 			case 0:
-				b.offer(int(y)%5, func(o *Offer) { o.Class, o.Number, o.Opts = int(y)%3, uint64(y%4), x&26 })
+				b.offer(int(y)%5, func(o *Offer) { o.Class, o.Number, o.Flags = int(y)%3, uint64(y%4), x&26 })
 			case 1:
 				b.stand(ref, uint32(100+place))
 			case 2:
-				codes := []Code{OK, Cancelled, Moot, Failed, ConnectFailed, Full, TimedOut, Reset}
+				codes := []Code{OK, Cancelled, NotAttempted, Failed, ConnectFailed, Full, TimedOut, Reset}
 				if k := b.c.calls[ref]; k != nil && k.out {
-					b.do(Outcome{Ref: ref, Switch: k.to0(place), Code: codes[x/7%8], Note: uint32(y % 32), NoMore: k.stands})
+					b.do(Outcome{Ref: ref, Switch: k.to0(place), Code: codes[x/7%8], Note: uint32(y % 32), Final: k.stands})
 				} else {
-					b.do(Outcome{Ref: ref, Switch: uint32(100 + place), Code: codes[x/7%8], Note: uint32(y % 32), NoMore: true})
+					b.do(Outcome{Ref: ref, Switch: uint32(100 + place), Code: codes[x/7%8], Note: uint32(y % 32), Final: true})
 				}
 			case 3:
 				b.free(place, float32(int(y)-8))
@@ -758,7 +759,7 @@
 				b.do(Withdrawn{Ref: ref})
 			case 5:
 				b.do(Topology{Kind: ListKind(x / 7 % 4), Entries: []Entry{{Switch: uint32(100 + place + int(y)/128*100),
-					Place: place, Mode: Mode(y % 3), OnlineSince: b.now * time.Duration(y&1)}}})
+					ExchangeNumber: place, Mode: Mode(y % 3), OnlineSince: b.now * time.Duration(y&1)}}})
 			case 6:
 				b.pass(time.Duration(y) * 4 * ms)
 			}
@@ -831,7 +832,7 @@
 		{"lost now and then", 3 * time.Second, 3, true, false}, {"hung", 3 * time.Second, 2, false, true}} {
 		b := start(t, settings())
 		for i := 0; i < c.times; i++ {
-			r := b.offer(1, func(o *Offer) { o.TTL = c.ttl })
+			r := b.offer(1, func(o *Offer) { o.TimeLeft = c.ttl })
 			if b.tries[r] == 0 {
 				b.pass(time.Second)
 			}
@@ -857,7 +858,7 @@
 		for sw := b.sentTo(r); sw != 0 && b.final[r] == nil; sw = b.sentTo(r) {
 			b.free(int(sw-100), 30)
 			b.acts = nil
-			b.ends(r, sw, Full, NoteTurnedBack)
+			b.ends(r, sw, Full, NoteCrankback)
 		}
 		b.pass(3 * time.Second)
 		return b.tries[r]
@@ -921,7 +922,7 @@
 	r := b.offer(1)
 	b.pass(200 * ms)
 	b.free(1, 5)
-	late := b.offer(1, func(o *Offer) { o.Opts = OptRedial })
+	late := b.offer(1, func(o *Offer) { o.Flags = FlagRedial })
 	for ref, want := range map[uint32]time.Duration{r: 1300 * ms, late: 1500 * ms} {
 		if b.tries[ref] != 1 {
 			t.Fatalf("call %d: %d tries", ref, b.tries[ref])
@@ -962,7 +963,7 @@
 // work itself, at a small exchange's slow processor, is no wait.
 func TestOwnJamIsReadFromSetUpsThatTimeOut(t *testing.T) {
 	s := settings()
-	s.Resend = 500 * ms // pressure is a quarter of a second
+	s.ResendInterval = 500 * ms // pressure is a quarter of a second
 	b := start(t, s)
 	for i := 0; i < 12; i++ {
 		r := b.offer(1 + i%3)
@@ -1001,11 +1002,11 @@
 	for i := 0; i < fleet-1; i++ {
 		b := start(t, s)
 		b.c = New(s, uint64(i))
-		b.do(Topology{Kind: ListCached, Entries: []Entry{{Switch: 100, Place: 0, Mode: Ready}, {Switch: 101, Place: 1,
-			Mode: Ready}, {Switch: 102, Place: 2, Mode: Ready}}})
+		b.do(Topology{Kind: ListCached, Entries: []Entry{{Switch: 100, ExchangeNumber: 0, Mode: Ready},
+			{Switch: 101, ExchangeNumber: 1, Mode: Ready}, {Switch: 102, ExchangeNumber: 2, Mode: Ready}}})
 		b.c.best = best
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Ready, OnlineSince: began}}})
-		for b.now < began+s.Rules.Cold {
+		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
+		for b.now < began+s.Rules.WarmUp {
 			b.free(1, 30)
 			b.free(2, 0)
 			b.offer(1)
@@ -1018,20 +1019,20 @@
 		}
 		all = append(all, b.sends[101]...)
 	}
-	for at := time.Duration(0); at < s.Rules.Cold-s.Rules.Fall; at += 500 * ms {
+	for at := time.Duration(0); at < s.Rules.WarmUp-s.Rules.OverloadWindow; at += 500 * ms {
 		n := 0
 		for _, x := range all {
-			if x >= began+at && x < began+at+s.Rules.Fall {
+			if x >= began+at && x < began+at+s.Rules.OverloadWindow {
 				n++
 			}
 		}
-		part := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*at.Seconds()/s.Rules.Cold.Seconds()
+		part := s.Rules.WarmUpStart + (1-s.Rules.WarmUpStart)*at.Seconds()/s.Rules.WarmUp.Seconds()
 		// As many come in as go out: the exchange takes twice what it sends, and its own set-ups count too.
-		own := best * 1.4142 * part * s.Rules.Fall.Seconds()
+		own := best * 1.4142 * part * s.Rules.OverloadWindow.Seconds()
 		// Phases are drawn, so a window may hold some more by chance: a root of its count, twice.
-		most := s.Rules.FallMultiple*2*best*part*s.Rules.Fall.Seconds() - own
+		most := s.Rules.OverloadMultiple*2*best*part*s.Rules.OverloadWindow.Seconds() - own
 		if most += 2 * math.Sqrt(own); float64(n) > most {
-			t.Fatalf("%v after the start: %d set-ups from all within %v, %.0f at most", at, n, s.Rules.Fall, most)
+			t.Fatalf("%v after the start: %d set-ups from all within %v, %.0f at most", at, n, s.Rules.OverloadWindow, most)
 		}
 	}
 	if len(all) < fleet/2 {
@@ -1056,7 +1057,7 @@
 		b.pass(3 * time.Second)
 		for ref, k := range b.c.calls {
 			if k.out { // what was sent late and never answered
-				b.do(Outcome{Ref: ref, Switch: b.to[ref], Code: TimedOut, NoMore: true})
+				b.do(Outcome{Ref: ref, Switch: b.to[ref], Code: TimedOut, Final: true})
 			}
 		}
 		b.pass(time.Minute)
@@ -1180,14 +1181,14 @@
 		{"the destination drains", func(b *bench) uint32 {
 			b.do(full)
 			r := b.offer(1)
-			b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, Place: 1, Mode: Draining, Zone: 1}}})
+			b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Draining, Zone: 1}}})
 			return r
 		}},
 		{"no group, and no tries round left", func(b *bench) uint32 {
 			b.do(none)
 			b.c.round = [3]float64{0.4, 0.4, 0.4} // one try of four
 			r := b.offer(1)
-			b.do(Outcome{Ref: r, Switch: b.to[r], Code: Full, Note: NoteTurnedBack, Took: 50 * ms})
+			b.do(Outcome{Ref: r, Switch: b.to[r], Code: Full, Note: NoteCrankback, Took: 50 * ms})
 			return r
 		}},
 		{"no group, and nothing stands round", func(b *bench) uint32 {
@@ -1197,7 +1198,7 @@
 		}},
 	} {
 		s := settings()
-		s.Classes[0].Repeat = "guarded"
+		s.Classes[0].RepeatPolicy = "guarded"
 		b := start(t, s)
 		if r := c.run(b); b.final[r] == nil {
 			t.Errorf("%s: still held", c.name)
@@ -1215,14 +1216,14 @@
 	lasts := func(f time.Duration) time.Duration {
 		s := settings()
 		for i := range s.Classes {
-			s.Classes[i].Aim /= f
+			s.Classes[i].AnswerTarget /= f
 			s.Classes[i].MeanHold /= f
 		}
 		b := start(t, s)
 		x := b.c.places[1]
 		for i := 0; i < 200; i++ {
 			b.now += 100 * ms / f
-			b.offer(1, func(o *Offer) { o.TTL /= f })
+			b.offer(1, func(o *Offer) { o.TimeLeft /= f })
 			b.standAll()
 			b.free(1, 30)
 			if i > 150 && i < 170 {
@@ -1249,10 +1250,10 @@
 func TestErrorsAndBrokenLinksAreNotSilence(t *testing.T) {
 	b := start(t, settings())
 	for i := 0; i < 12; i++ {
-		r := b.offer(1, func(o *Offer) { o.Opts = OptRedial })
+		r := b.offer(1, func(o *Offer) { o.Flags = FlagRedial })
 		b.ends(r, 101, Failed, 0)
-		r = b.offer(1, func(o *Offer) { o.Opts = OptRedial })
-		b.ends(r, 101, Reset, NoteLink)
+		r = b.offer(1, func(o *Offer) { o.Flags = FlagRedial })
+		b.ends(r, 101, Reset, NoteLinkLost)
 	}
 	if x := b.c.places[1]; x.silent || x.gap.open || x.bad != 0 {
 		t.Errorf("silent %v, gap %v, bad %d after errors and resets", x.silent, x.gap.open, x.bad)
@@ -1268,7 +1269,7 @@
 		t.Fatalf("sent to %d", sw)
 	}
 	b.stand(r, b.to[r])
-	if x := b.offer(0, func(o *Offer) { o.Opts = OptTransit }); b.final[x] == nil || b.tries[x] != 0 {
+	if x := b.offer(0, func(o *Offer) { o.Flags = FlagTransit }); b.final[x] == nil || b.tries[x] != 0 {
 		t.Error("a call in transit to the own exchange is not turned back")
 	}
 	for p := 1; p < 4; p++ {
@@ -1286,8 +1287,8 @@
 	b := start(t, settings())
 	b.c.hush(b.c.places[1])
 	for id := uint32(200); id < 300; id++ {
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id, Place: 1, Mode: Ready, Zone: 1}}})
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id - 1, Place: 1, Mode: Gone, Zone: 1}}})
+		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id, ExchangeNumber: 1, Mode: Ready, Zone: 1}}})
+		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id - 1, ExchangeNumber: 1, Mode: Gone, Zone: 1}}})
 	}
 	if x := b.c.places[1]; x.silent || x.gap.open || x.id != 299 {
 		t.Errorf("silent %v, gap %v", x.silent, x.gap.open)
@@ -1312,12 +1313,12 @@
 		if b.tries[r] != 4 || b.to[r] == 101 {
 			t.Errorf("after %d tries the last went to %d", b.tries[r], b.to[r])
 		}
-		b.ends(r, b.to[r], Full, NoteTurnedBack)
+		b.ends(r, b.to[r], Full, NoteCrankback)
 		if b.final[r] == nil {
 			t.Error("no answer")
 		}
 	}
-	transit := func(o *Offer) { o.Opts = OptTransit }
+	transit := func(o *Offer) { o.Flags = FlagTransit }
 	r := b.offer(1, transit)
 	for i := 0; i < 4; i++ {
 		if b.final[r] != nil || b.to[r] != 101 {
@@ -1344,10 +1345,11 @@
 	old := b.offer(1)
 	b.c.served[0] = 0 // the worst served
 	now := s
-	now.MostTries = 2
+	now.MaxAttempts = 2
 	now.Classes = append([]Class{}, s.Classes...)
 	now.Classes[0].Retired = true
-	now.Classes = append(now.Classes, Class{Name: "c", Aim: 500 * ms, HardLimit: time.Second, Repeat: "single_shot"})
+	now.Classes = append(now.Classes, Class{Name: "c",
+		AnswerTarget: 500 * ms, HardLimit: time.Second, RepeatPolicy: "single_shot"})
 	b.do(Retune{Settings: now})
 	if b.c.target != 0.25 || b.c.offered[2] != 1 || len(b.c.served) != 3 {
 		t.Errorf("target %v, %v offered", b.c.target, b.c.offered)
@@ -1375,7 +1377,7 @@
 		}
 	}
 	now.Classes = append([]Class{}, now.Classes...)
-	now.Classes[0] = Class{Name: "d", Aim: time.Second, HardLimit: time.Second} // its place is another's
+	now.Classes[0] = Class{Name: "d", AnswerTarget: time.Second, HardLimit: time.Second} // its place is another's
 	b.c.offered[0] = 7
 	if b.do(Retune{Settings: now}); b.c.offered[0] != 1 {
 		t.Error("a class inherits what was counted of another")
--- a/example_test.go
+++ b/example_test.go
@@ -9,13 +9,13 @@
 
 // A controller is told what happens and appends what is to be done.
 func Example() {
-	c := tinbeam.New(tinbeam.Settings{Home: 1, Replicas: 2, MostTries: 3, Classes: []tinbeam.Class{
-		{Aim: 2 * time.Second, HardLimit: 9 * time.Second, Gain: 1, Width: 1, MeanHold: 10 * time.Second}}}, 42)
+	c := tinbeam.New(tinbeam.Settings{LocalExchange: 1, Replicas: 2, MaxAttempts: 3, Classes: []tinbeam.Class{
+		{AnswerTarget: 2 * time.Second, HardLimit: 9 * time.Second, Value: 1, Width: 1, MeanHold: 10 * time.Second}}}, 42)
 	now := 10 * time.Second
 	var acts []tinbeam.Action
 	acts = c.Handle(now, tinbeam.Topology{Kind: tinbeam.ListCached, Entries: []tinbeam.Entry{
-		{Switch: 11, Place: 1, Mode: tinbeam.Ready}, {Switch: 12, Place: 2, Mode: tinbeam.Ready}}}, acts[:0])
-	acts = c.Handle(now, tinbeam.Offer{Ref: 7, Number: 555, Width: 1, TTL: 3 * time.Second, Dest: 2, Via: -1}, acts[:0])
+		{Switch: 11, ExchangeNumber: 1, Mode: tinbeam.Ready}, {Switch: 12, ExchangeNumber: 2, Mode: tinbeam.Ready}}}, acts[:0])
+	acts = c.Handle(now, tinbeam.Offer{Ref: 7, Number: 555, Width: 1, TimeLeft: 3 * time.Second, Dest: 2, Via: -1}, acts[:0])
 	for _, a := range acts {
 		if s, ok := a.(tinbeam.Attempt); ok {
 			fmt.Printf("set call %d up towards switch %d\n", s.Ref, s.Switch)
--- a/interface.go
+++ b/interface.go
@@ -8,56 +8,56 @@
 // Settings is what a controller is told when it starts. A zero value means the setting was absent;
 // New documents what is done then.
 type Settings struct {
-	Index, Replicas int // own number among the controllers, and how many there are
-	Zone            int
-	Classes         []Class
-	ReportFields    []string // names of the values of a load report, in order
-	ReportHow       string   // "inline", "on_probe" or "off"
-	Discovery       string   // "pushed" or "on_request"
-	Pools           bool     // agents' pools or central servers shared by all, in place of a network
-	Home            int      // number of the own exchange; -1 with pools
-	AllowedPools    [][]int  // pools by class; an empty list allows all
-	Advice          bool     // calls carry a centre's advice
-	ReleaseWait     time.Duration
-	Resend          time.Duration // a set-up that waits is sent again after this; 0: never
-	Probes          bool
-	PeerMessages    bool
-	ParallelTries   bool
-	MarksRedial     bool          // callers mark a redial
-	MostTries       int           // attempts for one call; 0: not told
-	MaxPause        time.Duration // longest pause that a caller keeps; 0: pauses are not given
-	Rules           Rules
-	Blend           Blend
-	Charges         Charges
+	ReplicaIndex, Replicas int // own number among the controllers, and how many there are
+	Zone                   int
+	Classes                []Class
+	ReportFields           []string // names of the values of a load report, in order
+	ReportHow              string   // "inline", "on_probe" or "off"
+	Discovery              string   // "pushed" or "on_request"
+	SharedPools            bool     // agents' pools or central servers shared by all, in place of a network
+	LocalExchange          int      // number of the own exchange; -1 with pools
+	AllowedPools           [][]int  // pools by class; an empty list allows all
+	TandemAdvice           bool     // calls carry a centre's advice
+	ReleaseDelay           time.Duration
+	ResendInterval         time.Duration // a set-up that waits is sent again after this; 0: never
+	Probes                 bool
+	PeerMessages           bool
+	ParallelAttempts       bool
+	MarksRedial            bool          // callers mark a redial
+	MaxAttempts            int           // attempts for one call; 0: not told
+	MaxRetryAfter          time.Duration // longest pause that a caller keeps; 0: pauses are not given
+	Rules                  Rules
+	ScoreWeights           ScoreWeights
+	Penalties              Penalties
 }
 
 // Class is one class of call.
 type Class struct {
-	Name      string
-	Aim       time.Duration // full worth if the call stands within this
-	HardLimit time.Duration
-	Gain      float64 // worth
-	LateValue float64 // share of the worth past the aim
-	Width     float64 // circuits on each group
-	MeanHold  time.Duration
-	Repeat    string // "free", "guarded" or "single_shot"
-	Group     string // guarded: "all", "zone" or "cell"
-	Window    time.Duration
-	Retired   bool // no longer in the settings: only calls taken before have it
+	Name           string
+	AnswerTarget   time.Duration // full worth if the call stands within this
+	HardLimit      time.Duration
+	Value          float64 // worth
+	LateValueShare float64 // share of the worth past the aim
+	Width          float64 // circuits on each group
+	MeanHold       time.Duration
+	RepeatPolicy   string // "free", "guarded" or "single_shot"
+	RepeatScope    string // guarded: "all", "zone" or "cell"
+	RepeatWindow   time.Duration
+	Retired        bool // no longer in the settings: only calls taken before have it
 }
 
 // Rules holds the figures of the binding rules.
 type Rules struct {
-	AnswerSlack, DrainGrace time.Duration
-	Cold, Fall, AskWithin   time.Duration
-	ColdFrom, FallMultiple  float64
+	AnswerSlack, DrainGrace           time.Duration
+	WarmUp, OverloadWindow, AskWithin time.Duration
+	WarmUpStart, OverloadMultiple     float64
 }
 
-// Blend holds the weights of the parts of the service figure.
-type Blend struct{ Whole, WorstClass, WorstRealm, WorstWindow float64 }
+// ScoreWeights holds the weights of the parts of the service figure.
+type ScoreWeights struct{ Overall, WorstClass, WorstTenant, WorstWindow float64 }
 
-// Charges holds what is taken off the service figure.
-type Charges struct{ Probe, LateFail, Waste, Tandem float64 }
+// Penalties holds what is taken off the service figure.
+type Penalties struct{ Probe, LateFailure, Waste, Tandem float64 }
 
 // Mode is the state of an exchange in a list.
 type Mode uint8
@@ -71,12 +71,12 @@
 
 // Entry is one exchange in a list.
 type Entry struct {
-	Switch      uint32
-	Zone, Place int
-	Mode        Mode
-	Scale       float64
-	OnlineSince time.Duration // clock time of the last start; 0: long ago
-	Leaf        bool          // the end of a way, as a gateway is: no call for another place goes through it
+	Switch               uint32
+	Zone, ExchangeNumber int
+	Mode                 Mode
+	Weight               float64
+	OnlineSince          time.Duration // clock time of the last start; 0: long ago
+	NoTransit            bool          // the end of a way, as a gateway is: no call for another place goes through it
 }
 
 // ListKind tells what a Topology event holds.
@@ -97,7 +97,7 @@
 const (
 	OK            Code = 200
 	Cancelled     Code = 499
-	Moot          Code = 410
+	NotAttempted  Code = 410
 	Failed        Code = 500
 	ConnectFailed Code = 502
 	Full          Code = 503
@@ -107,19 +107,19 @@
 
 // The notes that come with an ending, in the lower four bits.
 const (
-	NoteNoCircuit  = 1
-	NoteTurnedBack = 2
-	NoteProcessor  = 3
-	NoteBusy       = 4
-	NoteLink       = 5  // the connection broke under it, which tells nothing of the exchange
-	NoteBeyond     = 16 // with NoteTurnedBack: the processor beyond the tandem was full
+	NoteNoCircuit      = 1
+	NoteCrankback      = 2
+	NoteProcessor      = 3
+	NoteBusy           = 4
+	NoteLinkLost       = 5  // the connection broke under it, which tells nothing of the exchange
+	NoteOverloadBeyond = 16 // with NoteCrankback: the processor beyond the tandem was full
 )
 
 // The marks of an offered call.
 const (
-	OptRedial  = 2
-	OptTransit = 8
-	OptAgain   = 16
+	FlagRedial   = 2
+	FlagTransit  = 8
+	FlagRepeated = 16
 )
 
 // Event is something that a controller is told: one of the types below.
@@ -137,20 +137,20 @@
 	Retune struct{ Settings Settings }
 	// Offer hands a call to the controller.
 	Offer struct {
-		Ref    uint32
-		Class  int
-		Number uint64 // the number called; 0: none
-		Width  float64
-		TTL    time.Duration
-		Dest   int
-		Opts   uint8
-		Via    int // advised tandem, or the exchange of origin of a call in transit; -1: none
+		Ref      uint32
+		Class    int
+		Number   uint64 // the number called; 0: none
+		Width    float64
+		TimeLeft time.Duration
+		Dest     int
+		Flags    uint8
+		Via      int // advised tandem, or the exchange of origin of a call in transit; -1: none
 	}
 	// Outcome tells how an attempt ended.
 	Outcome struct {
 		Ref    uint32
 		Try    int
-		NoMore bool // the call is concluded
+		Final  bool // the call is concluded
 		Note   uint32
 		Took   time.Duration
 		Switch uint32
@@ -177,7 +177,7 @@
 	TickDue struct{ Handle uint64 }
 	// Datagram brings a message from another controller.
 	Datagram struct {
-		Author  int
+		Sender  int
 		Payload []byte
 	}
 )
@@ -198,14 +198,14 @@
 type (
 	// Attempt sets a call up towards an exchange.
 	Attempt struct {
-		Ref         uint32
-		Switch      uint32
-		GiveUpAfter time.Duration // 0: until the caller gives up
+		Ref     uint32
+		Switch  uint32
+		Timeout time.Duration // 0: until the caller gives up
 	}
 	// Decline refuses a call.
 	Decline struct {
-		Ref   uint32
-		Pause time.Duration
+		Ref        uint32
+		RetryAfter time.Duration
 	}
 	// GiveUp ends a call that failed.
 	GiveUp struct{ Ref uint32 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -157,7 +157,7 @@
 		}
 	}
 	c.M.FarEndsListed.Set(int64(listed))
-	c.guarded(c.ctl, func() { c.M.FarEndsAvoided.Set(int64(c.ctl.Avoided())) })
+	c.guarded(c.ctl, func() { c.M.FarEndsAvoided.Set(int64(c.ctl.UnresponsiveCount())) })
 }
 
 // Retune takes other settings. What is open keeps its class, so a class that is changed or dropped keeps its place in the
@@ -166,8 +166,8 @@
 	used := map[int]bool{}
 	for _, k := range c.calls {
 		used[k.Class] = true
-		if set.MostTries > 0 && (k.most == 0 || set.MostTries < k.most) {
-			k.most = set.MostTries
+		if set.MaxAttempts > 0 && (k.most == 0 || set.MaxAttempts < k.most) {
+			k.most = set.MaxAttempts
 		}
 	}
 	pools := func(s *tinbeam.Settings, i int) []int {
@@ -262,7 +262,7 @@
 		c.setUp(a)
 	case tinbeam.Decline:
 		if k := c.calls[a.Ref]; k != nil {
-			c.refuse(k, false, a.Pause)
+			c.refuse(k, false, a.RetryAfter)
 		}
 	case tinbeam.GiveUp:
 		if k := c.calls[a.Ref]; k != nil {
@@ -292,7 +292,7 @@
 // Offer takes a call. Left counts from now.
 func (c *Core) Offer(k *Call) {
 	c.M.Offered.Inc()
-	k.taken, k.deadline, k.most = c.Now(), c.Now()+max(k.Left, 0), c.Set.MostTries
+	k.taken, k.deadline, k.most = c.Now(), c.Now()+max(k.Left, 0), c.Set.MaxAttempts
 	c.owed++
 	c.M.Pending.Set(int64(c.owed))
 	c.next++
@@ -300,19 +300,19 @@
 	c.calls[k.ref] = k
 	switch {
 	case len(c.calls) > c.most:
-		c.refuse(k, false, c.Set.MaxPause)
+		c.refuse(k, false, c.Set.MaxRetryAfter)
 		return
 	case c.hook != nil && c.hook.Refuse(k):
 		c.M.PluginRefusals.Inc()
-		c.refuse(k, false, c.Set.MaxPause)
+		c.refuse(k, false, c.Set.MaxRetryAfter)
 		return
 	}
 	// Guards against a module that keeps a call too long, whatever the cause: its caller gets an answer.
 	k.guard = c.At(max(k.deadline-answerMargin+2*time.Millisecond, c.Now()), func() {
 		c.GiveUp(k)
 	})
-	c.tell(tinbeam.Offer{Ref: k.ref, Class: k.Class, Number: k.Key, Width: k.Width, TTL: max(k.Left, 0),
-		Dest: k.Dest, Opts: k.Opts, Via: k.Via})
+	c.tell(tinbeam.Offer{Ref: k.ref, Class: k.Class, Number: k.Key, Width: k.Width, TimeLeft: max(k.Left, 0),
+		Dest: k.Dest, Flags: k.Opts, Via: k.Via})
 }
 
 // final gives up the claim to the one final answer of a call; false: it has been given.
@@ -369,7 +369,7 @@
 	k.tries++
 	p := c.places[a.Switch]
 	moot := func() {
-		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.Moot})
+		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.NotAttempted})
 	}
 	v := c.M.Violations
 	if !must.Must(k.out == nil, v, "call %s has no other attempt out", k.ID) ||
@@ -380,8 +380,8 @@
 		return
 	}
 	left := k.deadline - answerMargin - c.Now()
-	if a.GiveUpAfter != 0 {
-		left = min(left, a.GiveUpAfter)
+	if a.Timeout != 0 {
+		left = min(left, a.Timeout)
 	}
 	if left <= 0 {
 		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.TimedOut})
@@ -440,15 +440,15 @@
 		c.ending(code)
 	}
 	if code == tinbeam.TimedOut || code == tinbeam.Reset || code == tinbeam.Cancelled {
-		k.notBefore = c.Now() + c.Set.ReleaseWait
+		k.notBefore = c.Now() + c.Set.ReleaseDelay
 	}
-	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, NoMore: over, Note: note, Took: c.Now() - at.SentAt,
+	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: over, Note: note, Took: c.Now() - at.SentAt,
 		Switch: at.Switch, Code: code, Report: report})
 }
 
 func (c *Core) ending(code tinbeam.Code) {
 	switch code {
-	case tinbeam.Full, tinbeam.Moot:
+	case tinbeam.Full, tinbeam.NotAttempted:
 		c.M.AttemptsFull.Inc()
 	case tinbeam.TimedOut:
 		c.M.AttemptsTimeout.Inc()
@@ -482,7 +482,7 @@
 	if at != nil {
 		c.drop(at)
 		c.places[at.Switch].far.GiveUp(at)
-		c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, NoMore: true, Took: c.Now() - at.SentAt,
+		c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: true, Took: c.Now() - at.SentAt,
 			Switch: at.Switch, Code: tinbeam.Cancelled})
 	}
 	c.see("abandoned", k)
@@ -498,7 +498,7 @@
 	c.drop(at)
 	c.over(k)
 	c.places[at.Switch].far.Release(at, cause)
-	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, NoMore: true, Took: c.Now() - at.SentAt, Switch: at.Switch,
+	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: true, Took: c.Now() - at.SentAt, Switch: at.Switch,
 		Code: tinbeam.Cancelled})
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -41,9 +41,10 @@
 
 func newBench(hook Hook) *bench {
 	b := &bench{clock: time.Hour, calls: map[string]*Call{}}
-	set := tinbeam.Settings{Home: 0, Replicas: 3, MostTries: 4, MarksRedial: true, ReleaseWait: 300 * time.Millisecond,
+	set := tinbeam.Settings{LocalExchange: 0, Replicas: 3, MaxAttempts: 4, MarksRedial: true,
+		ReleaseDelay: 300 * time.Millisecond,
 		ReportFields: []string{"idle", "circuits"}, Classes: []tinbeam.Class{
-			{Name: "check", Aim: time.Second, HardLimit: 9 * time.Second, Gain: 1, Width: 1, Repeat: "free"}}}
+			{Name: "check", AnswerTarget: time.Second, HardLimit: 9 * time.Second, Value: 1, Width: 1, RepeatPolicy: "free"}}}
 	b.Core = New(NewLoop(func() time.Duration { return b.clock }), set, 1, 64<<20, metrics.New(), zap.NewNop(), hook)
 	b.list(tinbeam.Ready)
 	b.Report(7, []float32{10, 10})
@@ -51,7 +52,7 @@
 }
 
 func (b *bench) list(m tinbeam.Mode) {
-	b.Listed(1, tinbeam.ListDelta, []tinbeam.Entry{{Switch: 7, Place: 1, Mode: m}}, farBench{b})
+	b.Listed(1, tinbeam.ListDelta, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: m}}, farBench{b})
 }
 
 func (b *bench) offer(id string, left time.Duration) *Call {
@@ -148,8 +149,9 @@
 	b.offer("a", 5*time.Second)
 	b.offer("b", 5*time.Second)
 	now := was
-	now.Classes = []tinbeam.Class{was.Classes[0], {Name: "pull", Aim: time.Second, HardLimit: time.Second, Repeat: "free"}}
-	now.Classes[0].Repeat, now.MostTries = "single_shot", 2
+	now.Classes = []tinbeam.Class{was.Classes[0],
+		{Name: "pull", AnswerTarget: time.Second, HardLimit: time.Second, RepeatPolicy: "free"}}
+	now.Classes[0].RepeatPolicy, now.MaxAttempts = "single_shot", 2
 	b.Retune(now)
 	k := &Call{ID: "c", Class: b.Class("check"), Width: 1, Left: 5 * time.Second, Dest: 1, Via: -1, Caller: b}
 	b.Offer(k)
@@ -159,9 +161,9 @@
 	b.run(50 * time.Millisecond) // a and b are sent again, and not a third time
 	b.Ended(b.sent[3], tinbeam.Failed, 0, nil, 47)
 	b.expect(t, "set up a", "set up b", "set up c", "set up a", "set up b", "refuse c true", "refuse a false")
-	now.Classes, now.MostTries = now.Classes[1:], 1
+	now.Classes, now.MaxAttempts = now.Classes[1:], 1
 	b.Retune(now)
-	if b.Class("check") >= 0 || b.Class("pull") < 0 || b.Set.Classes[b.sent[4].Call.Class].Repeat != "free" {
+	if b.Class("check") >= 0 || b.Class("pull") < 0 || b.Set.Classes[b.sent[4].Call.Class].RepeatPolicy != "free" {
 		t.Errorf("%+v", b.Set.Classes)
 	}
 	b.Ended(b.sent[4], tinbeam.Failed, 0, nil, 47)
@@ -185,7 +187,7 @@
 func TestWholeListOfOneSide(t *testing.T) {
 	b := newBench(nil)
 	other := farBench{&bench{}}
-	b.Listed(2, tinbeam.ListFull, []tinbeam.Entry{{Switch: 8, Place: 2, Mode: tinbeam.Ready}}, other)
+	b.Listed(2, tinbeam.ListFull, []tinbeam.Entry{{Switch: 8, ExchangeNumber: 2, Mode: tinbeam.Ready}}, other)
 	b.offer("a", 5*time.Second)
 	b.expect(t, "set up a")
 }
@@ -195,8 +197,8 @@
 	b := newBench(nil)
 	b.offer("a", 5*time.Second)
 	for id := uint32(8); id < 100; id++ {
-		b.Listed(uint64(id), tinbeam.ListDelta, []tinbeam.Entry{{Switch: id - 1, Place: 1, Mode: tinbeam.Gone},
-			{Switch: id, Place: 1, Mode: tinbeam.Ready}}, farBench{b})
+		b.Listed(uint64(id), tinbeam.ListDelta, []tinbeam.Entry{{Switch: id - 1, ExchangeNumber: 1, Mode: tinbeam.Gone},
+			{Switch: id, ExchangeNumber: 1, Mode: tinbeam.Ready}}, farBench{b})
 	}
 	if n := len(b.places); n != 3 || b.places[7] == nil { // the last, the one before, and where the call is out
 		t.Errorf("%d far ends are kept", n)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -140,7 +140,7 @@
 	for _, n := range listed(cfg) {
 		// Guards against a slow start: the own exchange is in the list too, but no group leads to it and its state
 		// never comes, so that a restarted agent would not be taken in for a second.
-		if n.Mode == tinbeam.Ready && n.Place != cfg.Settings.Home {
+		if n.Mode == tinbeam.Ready && n.ExchangeNumber != cfg.Settings.LocalExchange {
 			waits++
 		}
 	}
--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -70,9 +70,9 @@
 			return nil, 0, ErrMalformed
 		}
 		e.Entries = append(e.Entries, Entry{Addr: addr.String(), Entry: tinbeam.Entry{
-			Switch: binary.BigEndian.Uint32(p), Zone: int(p[11]), Place: int(binary.BigEndian.Uint16(p[13:])),
+			Switch: binary.BigEndian.Uint32(p), Zone: int(p[11]), ExchangeNumber: int(binary.BigEndian.Uint16(p[13:])),
 			Mode:        [3]tinbeam.Mode{tinbeam.Ready, tinbeam.Draining, tinbeam.Gone}[p[10]],
-			Scale:       float64(binary.BigEndian.Uint32(p[15:])) / 1000,
+			Weight:      float64(binary.BigEndian.Uint32(p[15:])) / 1000,
 			OnlineSince: clock(int64(binary.BigEndian.Uint64(p[19:]))),
 		}})
 	}
@@ -136,7 +136,7 @@
 				}
 			}
 			e.Entries = append(e.Entries, Entry{Addr: n.Addr, Entry: tinbeam.Entry{Switch: id, Zone: zone,
-				Place: n.Cell, Mode: mode, Scale: n.Weight, OnlineSince: clock(n.Started)}})
+				ExchangeNumber: n.Cell, Mode: mode, Weight: n.Weight, OnlineSince: clock(n.Started)}})
 		}
 		events = append(events, e)
 	}
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -21,8 +21,8 @@
 	return b
 }
 
-var entry = Entry{Addr: "10.1.0.9:2905", Entry: tinbeam.Entry{Switch: 0xc41f7a, Zone: 2, Place: 2,
-	Mode: tinbeam.Draining, Scale: 4, OnlineSince: 1700000000000 * time.Millisecond}}
+var entry = Entry{Addr: "10.1.0.9:2905", Entry: tinbeam.Entry{Switch: 0xc41f7a, Zone: 2, ExchangeNumber: 2,
+	Mode: tinbeam.Draining, Weight: 4, OnlineSince: 1700000000000 * time.Millisecond}}
 
 func TestFrames(t *testing.T) {
 	b := append(unhex(t, frame), unhex(t, "00000009 000000000000002a 00 0000")...)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -82,7 +82,7 @@
 	}
 	set, _ := c.doc["settings"].(map[string]any)
 	permissions, _ := set["permissions"].(map[string]any)
-	if !above0(permissions["mostTries"]) || c.Settings.MostTries < 1 {
+	if !above0(permissions["mostTries"]) || c.Settings.MaxAttempts < 1 {
 		return fmt.Errorf("settings.permissions.mostTries is no number above 0")
 	}
 	classes, _ := set["classes"].([]any)
@@ -98,7 +98,8 @@
 			names[name] = true
 		}
 	}
-	if old, now := present.Settings, c.Settings; old.Index != now.Index || old.Home != now.Home || old.Pools != now.Pools {
+	if old, now := present.Settings, c.Settings; old.ReplicaIndex != now.ReplicaIndex ||
+		old.LocalExchange != now.LocalExchange || old.SharedPools != now.SharedPools {
 		return fmt.Errorf("settings: the own number or the shape of the network is another")
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -99,7 +99,7 @@
 				return nil, fmt.Errorf("mgcp: gateway %s: address %q is no address with a port", g.Name, g.Address)
 			case err != nil:
 				return nil, fmt.Errorf("mgcp: gateway %s: %w", g.Name, err)
-			case g.Place < 0 || g.Place > 1<<16 || places[g.Place] || g.Place == set.Home:
+			case g.Place < 0 || g.Place > 1<<16 || places[g.Place] || g.Place == set.LocalExchange:
 				return nil, fmt.Errorf("mgcp: gateway %s: place %d is taken or makes no sense", g.Name, g.Place)
 			case len(g.Lines) == 0:
 				return nil, fmt.Errorf("mgcp: gateway %s has no lines", g.Name)
--- a/internal/farend/farend.go
+++ b/internal/farend/farend.go
@@ -143,7 +143,7 @@
 	case CauseFull:
 		return tinbeam.Full
 	case CauseTimerExpiry:
-		return tinbeam.Moot
+		return tinbeam.NotAttempted
 	case CauseReset:
 		return tinbeam.Reset
 	}
@@ -156,9 +156,9 @@
 	case "blocked":
 		return tinbeam.NoteNoCircuit
 	case "bounced":
-		return tinbeam.NoteTurnedBack
+		return tinbeam.NoteCrankback
 	case "far_swamped":
-		return tinbeam.NoteTurnedBack + tinbeam.NoteBeyond
+		return tinbeam.NoteCrankback + tinbeam.NoteOverloadBeyond
 	case "occupied":
 		return tinbeam.NoteBusy
 	case "swamped":
--- a/internal/farend/farend_test.go
+++ b/internal/farend/farend_test.go
@@ -39,7 +39,7 @@
 		before, after tinbeam.Code
 	}{
 		{CauseFull, tinbeam.Full, tinbeam.OK}, {CauseBusy, tinbeam.Failed, tinbeam.OK},
-		{CauseFault, tinbeam.Failed, tinbeam.OK}, {CauseTimerExpiry, tinbeam.Moot, tinbeam.OK},
+		{CauseFault, tinbeam.Failed, tinbeam.OK}, {CauseTimerExpiry, tinbeam.NotAttempted, tinbeam.OK},
 		{CauseReset, tinbeam.Reset, tinbeam.Reset}, {CauseNormal, tinbeam.Failed, tinbeam.OK},
 	} {
 		l := Message{Kind: Stop, Cause: c.cause}
--- a/internal/mgcp/front.go
+++ b/internal/mgcp/front.go
@@ -127,8 +127,8 @@
 func (f *FrontEnd) list(changed ...*gateway) {
 	entries := make([]tinbeam.Entry, len(changed))
 	for i, gw := range changed {
-		entries[i] = tinbeam.Entry{Switch: gw.ID, Zone: gw.Zone, Place: gw.Exchange, Mode: gw.mode, Scale: 1,
-			OnlineSince: gw.since, Leaf: true}
+		entries[i] = tinbeam.Entry{Switch: gw.ID, Zone: gw.Zone, ExchangeNumber: gw.Exchange, Mode: gw.mode, Weight: 1,
+			OnlineSince: gw.since, NoTransit: true}
 	}
 	f.version++
 	f.core.Listed(f.version, tinbeam.ListDelta, entries, farSide{f})
@@ -487,12 +487,12 @@
 	gw := f.byID[a.Switch]
 	if !must.Must(gw != nil && a.Call.Dest == gw.Exchange, f.core.M.Violations, "call %s is for gateway %08x",
 		a.Call.ID, a.Switch) {
-		f.core.Ended(a, tinbeam.Moot, 0, nil, 0)
+		f.core.Ended(a, tinbeam.NotAttempted, 0, nil, 0)
 		return
 	}
 	i := slices.IndexFunc(gw.lines, (*line).idle)
 	if i < 0 || gw.mode != tinbeam.Ready {
-		f.core.Ended(a, tinbeam.Moot, tinbeam.NoteNoCircuit, nil, 0)
+		f.core.Ended(a, tinbeam.NotAttempted, tinbeam.NoteNoCircuit, nil, 0)
 		return
 	}
 	l := gw.lines[i]
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -562,7 +562,7 @@
 	}
 	k.Key = agent.Key(k.Number)
 	if m.Get("P-Second-Try") == "1" {
-		k.Opts |= tinbeam.OptRedial
+		k.Opts |= tinbeam.FlagRedial
 	}
 	for _, part := range strings.Split(m.Get("P-Path"), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
@@ -585,11 +585,11 @@
 			k.Via = int(v)
 		case "transit":
 			if v == 1 {
-				k.Opts |= tinbeam.OptTransit
+				k.Opts |= tinbeam.FlagTransit
 			}
 		case "again":
 			if v == 1 {
-				k.Opts |= tinbeam.OptAgain
+				k.Opts |= tinbeam.FlagRepeated
 			}
 		}
 	}
--- a/internal/platform/callers_test.go
+++ b/internal/platform/callers_test.go
@@ -24,7 +24,7 @@
 func side() *Callers { return sideOn(agent.SystemClock(), 100) }
 
 func sideOn(clock func() time.Duration, room int) *Callers {
-	set := tinbeam.Settings{Classes: []tinbeam.Class{{Name: "check", Aim: 5 * time.Second, HardLimit: 9 * time.Second}}}
+	set := tinbeam.Settings{Classes: []tinbeam.Class{{Name: "check", AnswerTarget: 5 * time.Second, HardLimit: 9 * time.Second}}}
 	core := agent.New(agent.NewLoop(clock), set, 1, 64<<20, metrics.New(), zap.NewNop(), nil)
 	return NewCallers(core, zap.NewNop(), "here", room, 64<<20)
 }
@@ -187,7 +187,7 @@
 	offer := func(c *callerConn, id string) {
 		s.invite(c, id, invite(id, "check", "9000", "dest:1", "v=0"))
 	}
-	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, Place: 1, Mode: tinbeam.Ready}}, nowhere{})
+	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
 	open(3)
 	busy, last, quiet := s.conns[0], s.conns[1], s.conns[2]
 	s.Drain(pace)
@@ -244,7 +244,7 @@
 func TestReleaseReachesCallers(t *testing.T) {
 	now := time.Hour
 	s := sideOn(func() time.Duration { return now }, 10)
-	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, Place: 1, Mode: tinbeam.Ready}}, nowhere{})
+	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
 	connect := dialer(t, s)
 	for i := 1; i <= 3; i++ {
 		connect()
@@ -292,7 +292,7 @@
 	now := time.Hour
 	s := sideOn(func() time.Duration { return now }, 10)
 	var out *agent.Attempt
-	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, Place: 1, Mode: tinbeam.Ready}}, nowhere{&out})
+	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{&out})
 	peer := dialer(t, s)()
 	for len(s.conns) < 1 {
 		s.core.Step()
--- a/internal/platform/fars.go
+++ b/internal/platform/fars.go
@@ -122,7 +122,7 @@
 				continue
 			}
 			x = &far{fars: f, id: e.Switch, attempts: map[string]*agent.Attempt{},
-				checks: map[string]time.Duration{}, heard: f.core.Now(), told: e.Place == f.core.Set.Home}
+				checks: map[string]time.Duration{}, heard: f.core.Now(), told: e.ExchangeNumber == f.core.Set.LocalExchange}
 			f.byID[e.Switch] = x
 		}
 		if x.addr != e.Addr {
@@ -482,9 +482,9 @@
 		// Guards a sound far end: that one connection broke says nothing of its load or health. Where the process
 		// has died the next connection is refused, and that tells.
 		if l.ticket.Withdraw() { // not a byte of it was written: it never ran
-			core.Ended(a, tinbeam.ConnectFailed, tinbeam.NoteLink, nil, 0)
+			core.Ended(a, tinbeam.ConnectFailed, tinbeam.NoteLinkLost, nil, 0)
 		} else {
-			core.Ended(a, tinbeam.Reset, tinbeam.NoteLink, nil, farend.CauseReset)
+			core.Ended(a, tinbeam.Reset, tinbeam.NoteLinkLost, nil, farend.CauseReset)
 		}
 	}
 	x.dial(linksWanted)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -25,13 +25,13 @@
 	}
 	var s tinbeam.Settings
 	var err error
-	if s.Index, err = kv.must("index"); err != nil {
+	if s.ReplicaIndex, err = kv.must("index"); err != nil {
 		return s, err
 	}
-	s.Pools = kv["familyInfo.shape"] == "skills"
-	s.Home = -1
-	if !s.Pools {
-		if s.Home, err = kv.must("familyInfo.homeNo"); err != nil {
+	s.SharedPools = kv["familyInfo.shape"] == "skills"
+	s.LocalExchange = -1
+	if !s.SharedPools {
+		if s.LocalExchange, err = kv.must("familyInfo.homeNo"); err != nil {
 			return s, err
 		}
 	}
@@ -43,25 +43,25 @@
 		s.ReportHow = far
 	}
 	s.Discovery = kv["discovery"]
-	s.Advice = kv["familyInfo.advice"] == "true"
-	s.ReleaseWait = kv.seconds("familyInfo.clearWait")
-	s.Resend = kv.seconds("familyInfo.resend")
+	s.TandemAdvice = kv["familyInfo.advice"] == "true"
+	s.ReleaseDelay = kv.seconds("familyInfo.clearWait")
+	s.ResendInterval = kv.seconds("familyInfo.resend")
 	s.Probes = kv["permissions.probes"] == "true"
 	s.PeerMessages = kv["permissions.peerMessages"] == "true"
-	s.ParallelTries = kv["permissions.parallelTries"] == "true"
+	s.ParallelAttempts = kv["permissions.parallelTries"] == "true"
 	s.MarksRedial = kv["clients.marksRetry"] == "true"
-	s.MostTries = kv.int("permissions.mostTries")
+	s.MaxAttempts = kv.int("permissions.mostTries")
 	if kv["permissions.retryAfter"] == "true" {
-		s.MaxPause = kv.seconds("permissions.maxRetryAfter")
+		s.MaxRetryAfter = kv.seconds("permissions.maxRetryAfter")
 	}
 	s.Rules = tinbeam.Rules{
 		AnswerSlack: kv.seconds("rules.answerSlack"), DrainGrace: kv.seconds("rules.drainGrace"),
-		Cold: kv.seconds("rules.cold"), Fall: kv.seconds("rules.fall"), AskWithin: kv.seconds("rules.askWithin"),
-		ColdFrom: kv.float("rules.coldFrom"), FallMultiple: kv.float("rules.fallMultiple"),
+		WarmUp: kv.seconds("rules.cold"), OverloadWindow: kv.seconds("rules.fall"), AskWithin: kv.seconds("rules.askWithin"),
+		WarmUpStart: kv.float("rules.coldFrom"), OverloadMultiple: kv.float("rules.fallMultiple"),
 	}
-	s.Blend = tinbeam.Blend{Whole: kv.float("blend.whole"), WorstClass: kv.float("blend.worstClass"),
-		WorstRealm: kv.float("blend.worstTenant"), WorstWindow: kv.float("blend.worstWindow")}
-	s.Charges = tinbeam.Charges{Probe: kv.float("charges.probe"), LateFail: kv.float("charges.lateFail"),
+	s.ScoreWeights = tinbeam.ScoreWeights{Overall: kv.float("blend.whole"), WorstClass: kv.float("blend.worstClass"),
+		WorstTenant: kv.float("blend.worstTenant"), WorstWindow: kv.float("blend.worstWindow")}
+	s.Penalties = tinbeam.Penalties{Probe: kv.float("charges.probe"), LateFailure: kv.float("charges.lateFail"),
 		Waste: kv.float("charges.waste"), Tandem: kv.float("charges.tandem")}
 	s.Classes = kv.classes()
 	for i := range s.Classes {
@@ -138,10 +138,10 @@
 	for i := range out {
 		p := fmt.Sprintf("classes.%d.", i)
 		out[i] = tinbeam.Class{
-			Name: kv[p+"name"], Aim: kv.seconds(p + "aim"), HardLimit: kv.seconds(p + "hardLimit"),
-			Gain: kv.float(p + "gain"), LateValue: kv.float(p + "lateValue"),
+			Name: kv[p+"name"], AnswerTarget: kv.seconds(p + "aim"), HardLimit: kv.seconds(p + "hardLimit"),
+			Value: kv.float(p + "gain"), LateValueShare: kv.float(p + "lateValue"),
 			Width: at(widths, i), MeanHold: Seconds(at(holds, i)),
-			Repeat: kv[p+"idempotency"], Group: kv[p+"group"], Window: kv.seconds(p + "window"),
+			RepeatPolicy: kv[p+"idempotency"], RepeatScope: kv[p+"group"], RepeatWindow: kv.seconds(p + "window"),
 		}
 	}
 	return out
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -265,14 +265,14 @@
 	case codeAccept:
 		o := tinbeam.Offer{Ref: c.u32(), Class: int(c.u16()), Number: c.u64(), Width: float64(c.f32())}
 		c.u16() // tenant
-		o.TTL = c.seconds("ttl")
+		o.TimeLeft = c.seconds("ttl")
 		o.Dest = c.number("destination")
-		o.Opts = c.u8()
+		o.Flags = c.u8()
 		c.u64() // anticipated work
 		o.Via = c.number("via")
 		r.Event = o
 	case codeOutcome:
-		o := tinbeam.Outcome{Ref: c.u32(), NoMore: c.u8() != 0, Note: c.u32(), Try: int(c.u8())}
+		o := tinbeam.Outcome{Ref: c.u32(), Final: c.u8() != 0, Note: c.u32(), Try: int(c.u8())}
 		o.Took = c.seconds("time")
 		o.Switch = c.u32()
 		o.Code = tinbeam.Code(c.u16())
@@ -292,7 +292,7 @@
 	case codeTickDue:
 		r.Event = tinbeam.TickDue{Handle: c.u64()}
 	case codeDatagram:
-		g := tinbeam.Datagram{Author: int(c.u16())}
+		g := tinbeam.Datagram{Sender: int(c.u16())}
 		g.Payload = append([]byte(nil), c.take(int(c.u16()))...)
 		r.Event = g
 	}
@@ -315,13 +315,13 @@
 	for i := range list {
 		e := tinbeam.Entry{Switch: c.u32(), Zone: int(c.u8())}
 		c.u8() // kind of machine
-		e.Place = int(c.u16())
+		e.ExchangeNumber = int(c.u16())
 		at = c.at
 		e.Mode = tinbeam.Mode(c.u8())
 		if e.Mode > tinbeam.Draining {
 			c.fail(at, "unknown mode %d", e.Mode)
 		}
-		e.Scale = float64(c.f32())
+		e.Weight = float64(c.f32())
 		e.OnlineSince = c.seconds("start time")
 		list[i] = e
 	}
@@ -354,11 +354,11 @@
 	case tinbeam.Attempt:
 		head(256)
 		b = le.AppendUint32(le.AppendUint32(b, a.Ref), a.Switch)
-		secs(a.GiveUpAfter)
+		secs(a.Timeout)
 	case tinbeam.Decline:
 		head(257)
 		b = le.AppendUint32(b, a.Ref)
-		secs(a.Pause)
+		secs(a.RetryAfter)
 	case tinbeam.GiveUp:
 		head(258)
 		b = le.AppendUint32(b, a.Ref)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -59,11 +59,12 @@
 		t.Errorf("topology %+v", top)
 	}
 	o := b.Records[1].Event.(tinbeam.Offer)
-	if o.Ref != 0x5d3a91c4 || o.TTL != 240*time.Millisecond || o.Dest != 57 || o.Opts != 1 || o.Via != 256 || o.Width != 1200 {
+	if o.Ref != 0x5d3a91c4 || o.TimeLeft != 240*time.Millisecond || o.Dest != 57 ||
+		o.Flags != 1 || o.Via != 256 || o.Width != 1200 {
 		t.Errorf("offer %+v", o)
 	}
 	end := b.Records[2].Event.(tinbeam.Outcome)
-	if !end.NoMore || end.Code != tinbeam.OK || end.Took != 18500*time.Microsecond || end.Switch != 0x03124a07 {
+	if !end.Final || end.Code != tinbeam.OK || end.Took != 18500*time.Microsecond || end.Switch != 0x03124a07 {
 		t.Errorf("outcome %+v", end)
 	}
 	if s := b.Records[3].Event.(tinbeam.Sampled); len(s.Report) != 4 || s.Report[3] != 140 {
@@ -79,9 +80,9 @@
 		a    tinbeam.Action
 		want string
 	}{
-		{tinbeam.Attempt{Ref: 0x5d3a91c4, Switch: 0x03124a07, GiveUpAfter: 80 * time.Millisecond},
+		{tinbeam.Attempt{Ref: 0x5d3a91c4, Switch: 0x03124a07, Timeout: 80 * time.Millisecond},
 			"0001 03000000 c4913a5d 074a1203 7b14ae47e17ab43f"},
-		{tinbeam.Decline{Ref: 0x0e6f2b19, Pause: 250 * time.Millisecond}, "0101 03000000 192b6f0e 000000000000d03f"},
+		{tinbeam.Decline{Ref: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond}, "0101 03000000 192b6f0e 000000000000d03f"},
 		{tinbeam.GiveUp{Ref: 0x0e6f2b19}, "0201 03000000 192b6f0e"},
 		{tinbeam.Withdraw{Ref: 0x5d3a91c4}, "0301 03000000 c4913a5d 00"},
 		{tinbeam.Schedule{After: 500 * time.Millisecond, Handle: 77}, "0401 03000000 000000000000e03f 4d00000000000000"},
@@ -164,8 +165,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Index != 3 || s.Home != 2 || len(s.Classes) != 2 || s.Classes[1].Width != 4 || s.Rules.Cold != 0 ||
-		s.Classes[1].Aim != 800*time.Millisecond || len(s.ReportFields) != 2 || s.MaxPause != 2*time.Second {
+	if s.ReplicaIndex != 3 || s.LocalExchange != 2 || len(s.Classes) != 2 || s.Classes[1].Width != 4 || s.Rules.WarmUp != 0 ||
+		s.Classes[1].AnswerTarget != 800*time.Millisecond || len(s.ReportFields) != 2 || s.MaxRetryAfter != 2*time.Second {
 		t.Errorf("%+v", s)
 	}
 	for text, name := range map[string]string{"familyInfo.homeNo=1": "index", "index=1": "familyInfo.homeNo",
