--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -92,7 +92,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := o.MGCP.Gateways[0]; g.ID != 0xd001 || !g.ManualAnswer || len(g.Lines) != 4 || o.RemoteWrite.Interval != 15*time.Second {
+	if g := o.MGCP.Gateways[0]; g.ID != 0xd001 || !g.ManualAnswer || len(g.Lines) != 4 ||
+		o.RemoteWrite.Interval != 15*time.Second {
 		t.Errorf("%+v %+v", g, o.RemoteWrite)
 	}
 	for from, to := range map[string]string{`"name"`: `"nam"`, `"s-0000d001"`: `"d001"`, `"ring"`: `"knock"`,
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -122,7 +122,8 @@
 		if u, err := url.Parse(r.URL); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
 			return nil, fmt.Errorf("remote_write: %q is no http address", r.URL)
 		}
-		o.RemoteWrite = &metrics.RemoteWriter{URL: r.URL, Interval: time.Duration(r.EveryS * float64(time.Second)), Labels: r.Labels}
+		o.RemoteWrite = &metrics.RemoteWriter{URL: r.URL, Interval: time.Duration(r.EveryS * float64(time.Second)),
+			Labels: r.Labels}
 	}
 	if p := f.Plugin; p != nil {
 		if p.Path == "" {
