--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"tinbeam"
-	must "tinbeam/internal/debug"
+	invariant "tinbeam/internal/debug"
 	"tinbeam/internal/metrics"
 )
 
@@ -37,10 +37,10 @@
 	Release(c *Call, cause int)
 }
 
-// Far is a side that attempts go out on. It brings in one Ended for each SetUp that was not given up.
-type Far interface {
+// FarEndSide is a side that attempts go out on. It calls Ended once for each SetUp that was not cancelled.
+type FarEndSide interface {
 	SetUp(a *Attempt)
-	GiveUp(a *Attempt)             // before the answer: whatever still waits to be written is taken back
+	Cancel(a *Attempt)             // before the answer: whatever still waits to be written is taken back
 	Release(a *Attempt, cause int) // of an attempt that stands
 	Probe(id uint32)
 }
@@ -57,11 +57,11 @@
 	Number      string // the number called, as written
 	Class       int
 	Description string // the caller's
-	Key         uint64 // the number called, for the module
+	NumberKey   uint64 // the number called, for the module
 	Width       float64
-	Left        time.Duration
+	TimeLeft    time.Duration
 	Dest, Via   int
-	Opts        uint8
+	Flags       uint8
 	Caller      Caller
 	Leg         any // the front's own
 
@@ -77,9 +77,9 @@
 	guard     *Timer
 }
 
-// Key is a number called as the module knows it: its hex digits, or where it is written otherwise a hash of it, so that
+// NumberKey is a number called as the module knows it: its hex digits, or where it is written otherwise a hash of it, so that
 // the calls to any number are one stream. 0 is no number.
-func Key(number string) uint64 {
+func NumberKey(number string) uint64 {
 	if n, err := strconv.ParseUint(number, 16, 64); err == nil || number == "" {
 		return n
 	}
@@ -90,10 +90,10 @@
 
 // Attempt is one set-up towards a far end.
 type Attempt struct {
-	Call   *Call
-	Switch uint32
-	Left   time.Duration // how long it is waited for
-	Leg    any           // the front's own
+	Call    *Call
+	Switch  uint32
+	Timeout time.Duration // how long it is waited for
+	Leg     any           // the front's own
 
 	SentAt time.Duration
 
@@ -101,21 +101,21 @@
 	timer *Timer
 }
 
-// Standing tells whether the call has been answered and is not over.
-func (k *Call) Standing() bool { return k.standing }
+// Established tells whether the call has been answered and is not over.
+func (k *Call) Established() bool { return k.standing }
 
-// Standing tells whether its call stands.
-func (a *Attempt) Standing() bool { return a.Call.standing }
+// Established tells whether its call stands.
+func (a *Attempt) Established() bool { return a.Call.standing }
 
 // Core owns the Controller and the table of calls. All its methods run on its loop.
 type Core struct {
 	*Loop
-	Set  tinbeam.Settings
-	most int // calls held at once; what is beyond is refused before the module sees it
-	M    *metrics.Set
-	log  *zap.Logger
-	ctl  *tinbeam.Controller
-	hook Hook
+	Settings tinbeam.Settings
+	most     int // calls held at once; what is beyond is refused before the module sees it
+	Metrics  *metrics.Set
+	log      *zap.Logger
+	ctl      *tinbeam.Controller
+	hook     Hook
 
 	next   uint32
 	calls  map[uint32]*Call
@@ -128,13 +128,14 @@
 
 // place is a far end as the list has it.
 type place struct {
-	far   Far
+	far   FarEndSide
 	entry tinbeam.Entry
 }
 
 // New makes a core that knows no far end. The calls it holds at once are bounded by the limit on memory, in bytes.
 func New(loop *Loop, set tinbeam.Settings, seed uint64, memory int, m *metrics.Set, log *zap.Logger, hook Hook) *Core {
-	c := &Core{Loop: loop, Set: set, most: memory / 2 / callBytes, M: m, log: log, hook: hook, ctl: tinbeam.New(set, seed),
+	c := &Core{Loop: loop, Settings: set, most: memory / 2 / callBytes, Metrics: m, log: log, hook: hook,
+		ctl:   tinbeam.New(set, seed),
 		calls: map[uint32]*Call{}, places: map[uint32]*place{}, probes: map[uint32]*Timer{}}
 	for _, k := range set.Classes {
 		m.Class(k.Name) // shown from the first on, at zero
@@ -156,8 +157,8 @@
 			listed++
 		}
 	}
-	c.M.FarEndsListed.Set(int64(listed))
-	c.guarded(c.ctl, func() { c.M.FarEndsAvoided.Set(int64(c.ctl.UnresponsiveCount())) })
+	c.Metrics.FarEndsListed.Set(int64(listed))
+	c.guarded(c.ctl, func() { c.Metrics.FarEndsAvoided.Set(int64(c.ctl.UnresponsiveCount())) })
 }
 
 // Retune takes other settings. What is open keeps its class, so a class that is changed or dropped keeps its place in the
@@ -176,7 +177,7 @@
 		}
 		return nil
 	}
-	old := c.Set
+	old := c.Settings
 	classes, allowed := slices.Clone(old.Classes), make([][]int, len(old.Classes))
 	place := map[int]int{} // of the new ones, by place in the table
 	for i := range classes {
@@ -189,7 +190,7 @@
 		classes[i].Retired = true
 	}
 	for j, k := range set.Classes {
-		c.M.Class(k.Name)
+		c.Metrics.Class(k.Name)
 		if _, same := place[j]; same {
 			continue
 		}
@@ -203,17 +204,19 @@
 		classes[i], allowed[i] = k, pools(&set, j)
 	}
 	set.Classes, set.AllowedPools = classes, allowed
-	c.Set = set
+	c.Settings = set
 	c.tell(tinbeam.Retune{Settings: set})
 }
 
-// Class is the place of a class in the settings; -1: none has that name.
-func (c *Core) Class(name string) int {
-	return slices.IndexFunc(c.Set.Classes, func(k tinbeam.Class) bool { return !k.Retired && k.Name == name })
+// ClassIndex is the place of a class in the settings; -1: none has that name.
+func (c *Core) ClassIndex(name string) int {
+	return slices.IndexFunc(c.Settings.Classes, func(k tinbeam.Class) bool { return !k.Retired && k.Name == name })
 }
 
 // class is the counters of a call's class.
-func (c *Core) class(k *Call) *metrics.Class { return c.M.Class(c.Set.Classes[k.Class].Name) }
+func (c *Core) class(k *Call) *metrics.Class {
+	return c.Metrics.Class(c.Settings.Classes[k.Class].Name)
+}
 
 // tell tells the module events, the oldest first, and does what it asks for. What happens meanwhile waits its turn.
 func (c *Core) tell(ev ...tinbeam.Event) {
@@ -246,7 +249,7 @@
 func (c *Core) guarded(what any, fn func()) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.M.Panics.Inc()
+			c.Metrics.Panics.Inc()
 			c.log.Error("decision failed", zap.Any("panic", p), zap.String("event", fmt.Sprintf("%T", what)),
 				zap.ByteString("stack", debug.Stack()))
 			ok = false
@@ -271,7 +274,7 @@
 	case tinbeam.Withdraw:
 		if k := c.calls[a.Ref]; k != nil && k.out != nil && k.out.try == a.Try && !k.standing {
 			at := k.out
-			c.places[at.Switch].far.GiveUp(at)
+			c.places[at.Switch].far.Cancel(at)
 			c.Ended(at, tinbeam.Cancelled, 0, nil, 0)
 		}
 	case tinbeam.Schedule:
@@ -285,34 +288,34 @@
 	case tinbeam.Lookup, tinbeam.StreamChanges:
 		// The change log is followed all the time.
 	default:
-		must.Must(false, c.M.Violations, "action %T is known", a)
+		invariant.Check(false, c.Metrics.Violations, "action %T is known", a)
 	}
 }
 
 // Offer takes a call. Left counts from now.
 func (c *Core) Offer(k *Call) {
-	c.M.Offered.Inc()
-	k.taken, k.deadline, k.most = c.Now(), c.Now()+max(k.Left, 0), c.Set.MaxAttempts
+	c.Metrics.Offered.Inc()
+	k.taken, k.deadline, k.most = c.Now(), c.Now()+max(k.TimeLeft, 0), c.Settings.MaxAttempts
 	c.owed++
-	c.M.Pending.Set(int64(c.owed))
+	c.Metrics.Pending.Set(int64(c.owed))
 	c.next++
 	k.ref = c.next
 	c.calls[k.ref] = k
 	switch {
 	case len(c.calls) > c.most:
-		c.refuse(k, false, c.Set.MaxRetryAfter)
+		c.refuse(k, false, c.Settings.MaxRetryAfter)
 		return
 	case c.hook != nil && c.hook.Refuse(k):
-		c.M.PluginRefusals.Inc()
-		c.refuse(k, false, c.Set.MaxRetryAfter)
+		c.Metrics.PluginRefusals.Inc()
+		c.refuse(k, false, c.Settings.MaxRetryAfter)
 		return
 	}
 	// Guards against a module that keeps a call too long, whatever the cause: its caller gets an answer.
 	k.guard = c.At(max(k.deadline-answerMargin+2*time.Millisecond, c.Now()), func() {
-		c.GiveUp(k)
+		c.Fail(k)
 	})
-	c.tell(tinbeam.Offer{Ref: k.ref, Class: k.Class, Number: k.Key, Width: k.Width, TimeLeft: max(k.Left, 0),
-		Dest: k.Dest, Flags: k.Opts, Via: k.Via})
+	c.tell(tinbeam.Offer{Ref: k.ref, Class: k.Class, Number: k.NumberKey, Width: k.Width, TimeLeft: max(k.TimeLeft, 0),
+		Dest: k.Dest, Flags: k.Flags, Via: k.Via})
 }
 
 // final gives up the claim to the one final answer of a call; false: it has been given.
@@ -323,7 +326,7 @@
 	k.answered = true
 	c.Stop(k.guard)
 	c.owed--
-	c.M.Pending.Set(int64(c.owed))
+	c.Metrics.Pending.Set(int64(c.owed))
 	return true
 }
 
@@ -333,26 +336,27 @@
 	}
 	if at := k.out; at != nil { // only where the guard of the deadline struck
 		c.drop(at)
-		c.places[at.Switch].far.GiveUp(at)
+		c.places[at.Switch].far.Cancel(at)
 	}
 	delete(c.calls, k.ref)
 	if failed {
-		c.M.Failed.Inc()
+		c.Metrics.Failed.Inc()
 		c.class(k).Failed.Inc()
 	} else {
-		c.M.Refused.Inc()
-		c.Declined(k)
+		c.Metrics.Refused.Inc()
+		c.CountRefused(k)
 	}
 	if e := c.log.Check(zap.DebugLevel, "refused"); e != nil {
 		e.Write(zap.String("call", k.ID), zap.Int("dest", k.Dest), zap.Int("class", k.Class), zap.Float64("width", k.Width),
-			zap.Uint8("marks", k.Opts), zap.Int("tries", k.tries), zap.Duration("after", c.Now()-k.taken), zap.Bool("failed", failed))
+			zap.Uint8("marks", k.Flags), zap.Int("tries", k.tries), zap.Duration("after", c.Now()-k.taken),
+			zap.Bool("failed", failed))
 	}
 	k.Caller.Refuse(k, failed, pause)
 	c.see("refused", k)
 }
 
-// Declined counts a call of its class that was refused; one that is refused at the door is so, and never was offered.
-func (c *Core) Declined(k *Call) { c.class(k).Refused.Inc() }
+// CountRefused counts a call of its class that was refused; one that is refused at the door is so, and never was offered.
+func (c *Core) CountRefused(k *Call) { c.class(k).Refused.Inc() }
 
 func (c *Core) see(name string, k *Call) {
 	if c.hook != nil {
@@ -371,11 +375,11 @@
 	moot := func() {
 		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.NotAttempted})
 	}
-	v := c.M.Violations
-	if !must.Must(k.out == nil, v, "call %s has no other attempt out", k.ID) ||
-		!must.Must(c.Now() >= k.notBefore, v, "call %s: the release is awaited", k.ID) ||
-		!must.Must(k.most == 0 || k.tries <= k.most, v, "call %s: tries are left", k.ID) ||
-		!must.Must(p != nil && p.entry.Mode == tinbeam.Ready, v, "far end %08x is ready", a.Switch) {
+	v := c.Metrics.Violations
+	if !invariant.Check(k.out == nil, v, "call %s has no other attempt out", k.ID) ||
+		!invariant.Check(c.Now() >= k.notBefore, v, "call %s: the release is awaited", k.ID) ||
+		!invariant.Check(k.most == 0 || k.tries <= k.most, v, "call %s: tries are left", k.ID) ||
+		!invariant.Check(p != nil && p.entry.Mode == tinbeam.Ready, v, "far end %08x is ready", a.Switch) {
 		moot()
 		return
 	}
@@ -387,11 +391,11 @@
 		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.TimedOut})
 		return
 	}
-	at := &Attempt{Call: k, Switch: a.Switch, Left: left, try: try, SentAt: c.Now()}
+	at := &Attempt{Call: k, Switch: a.Switch, Timeout: left, try: try, SentAt: c.Now()}
 	k.out = at
-	c.M.Attempts.Inc()
+	c.Metrics.Attempts.Inc()
 	at.timer = c.After(left, func() {
-		p.far.GiveUp(at)
+		p.far.Cancel(at)
 		c.Ended(at, tinbeam.TimedOut, 0, nil, 0)
 	})
 	p.far.SetUp(at)
@@ -408,17 +412,17 @@
 func (c *Core) Answered(at *Attempt, description string) {
 	k := at.Call
 	if k.out != at || k.standing {
-		c.M.StrayMessages.Inc() // it crossed what ended the attempt, or came twice
+		c.Metrics.StrayMessages.Inc() // it crossed what ended the attempt, or came twice
 		return
 	}
 	c.Stop(at.timer)
-	if !must.Must(c.final(k), c.M.Violations, "call %s: an attempt is out, so no answer was given", k.ID) {
+	if !invariant.Check(c.final(k), c.Metrics.Violations, "call %s: an attempt is out, so no answer was given", k.ID) {
 		return
 	}
 	k.standing = true
-	c.M.Answered.Inc()
+	c.Metrics.Answered.Inc()
 	c.class(k).Answered.Inc()
-	c.M.Established.Add(1)
+	c.Metrics.Established.Add(1)
 	k.Caller.Answer(k, description)
 	c.tell(tinbeam.Flowing{Ref: k.ref, Try: at.try, Switch: at.Switch, Took: c.Now() - at.SentAt})
 	c.see("answered", k)
@@ -428,7 +432,7 @@
 func (c *Core) Ended(at *Attempt, code tinbeam.Code, note uint32, report []float32, cause int) {
 	k := at.Call
 	if k.out != at {
-		c.M.StrayMessages.Inc()
+		c.Metrics.StrayMessages.Inc()
 		return
 	}
 	c.drop(at)
@@ -440,7 +444,7 @@
 		c.ending(code)
 	}
 	if code == tinbeam.TimedOut || code == tinbeam.Reset || code == tinbeam.Cancelled {
-		k.notBefore = c.Now() + c.Set.ReleaseDelay
+		k.notBefore = c.Now() + c.Settings.ReleaseDelay
 	}
 	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: over, Note: note, Took: c.Now() - at.SentAt,
 		Switch: at.Switch, Code: code, Report: report})
@@ -449,15 +453,15 @@
 func (c *Core) ending(code tinbeam.Code) {
 	switch code {
 	case tinbeam.Full, tinbeam.NotAttempted:
-		c.M.AttemptsFull.Inc()
+		c.Metrics.AttemptsFull.Inc()
 	case tinbeam.TimedOut:
-		c.M.AttemptsTimeout.Inc()
+		c.Metrics.AttemptsTimeout.Inc()
 	case tinbeam.Reset:
-		c.M.AttemptsReset.Inc()
+		c.Metrics.AttemptsReset.Inc()
 	case tinbeam.ConnectFailed:
-		c.M.AttemptsUnreached.Inc()
+		c.Metrics.AttemptsUnreached.Inc()
 	case tinbeam.Failed:
-		c.M.AttemptsFailed.Inc()
+		c.Metrics.AttemptsFailed.Inc()
 	}
 }
 
@@ -465,8 +469,8 @@
 func (c *Core) over(k *Call) {
 	k.standing = false
 	delete(c.calls, k.ref)
-	c.M.Established.Add(-1)
-	c.M.Released.Inc()
+	c.Metrics.Established.Add(-1)
+	c.Metrics.Released.Inc()
 	c.see("released", k)
 }
 
@@ -475,13 +479,13 @@
 	if !c.final(k) {
 		return
 	}
-	c.M.Abandoned.Inc()
+	c.Metrics.Abandoned.Inc()
 	delete(c.calls, k.ref)
 	at := k.out
 	c.tell(tinbeam.Withdrawn{Ref: k.ref})
 	if at != nil {
 		c.drop(at)
-		c.places[at.Switch].far.GiveUp(at)
+		c.places[at.Switch].far.Cancel(at)
 		c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: true, Took: c.Now() - at.SentAt,
 			Switch: at.Switch, Code: tinbeam.Cancelled})
 	}
@@ -492,7 +496,7 @@
 func (c *Core) Hangup(k *Call, cause int) {
 	at := k.out
 	if !k.standing || at == nil {
-		c.M.Duplicates.Inc()
+		c.Metrics.Duplicates.Inc()
 		return
 	}
 	c.drop(at)
@@ -502,9 +506,9 @@
 		Code: tinbeam.Cancelled})
 }
 
-// Listed brings an event of the list of one far side. To the module all sides are one list, so a whole list of one
+// UpdateFarEnds brings an event of the list of one far side. To the module all sides are one list, so a whole list of one
 // side is completed with what the others have.
-func (c *Core) Listed(version uint64, kind tinbeam.ListKind, entries []tinbeam.Entry, far Far) {
+func (c *Core) UpdateFarEnds(version uint64, kind tinbeam.ListKind, entries []tinbeam.Entry, far FarEndSide) {
 	c.purge()
 	listed := map[uint32]bool{}
 	for _, e := range entries {
@@ -551,7 +555,7 @@
 
 // Report brings an unasked report of the state of a group.
 func (c *Core) Report(id uint32, report []float32) {
-	c.M.Reports.Inc()
+	c.Metrics.Reports.Inc()
 	c.tell(tinbeam.Sampled{Switch: id, Code: tinbeam.OK, Report: report})
 }
 
@@ -560,7 +564,7 @@
 	if p == nil || c.probes[id] != nil {
 		return
 	}
-	c.M.Probes.Inc()
+	c.Metrics.Probes.Inc()
 	c.probes[id] = c.After(probeTimeout, func() { c.Probed(id, tinbeam.TimedOut, probeTimeout, nil) })
 	p.far.Probe(id)
 }
@@ -574,31 +578,31 @@
 	c.Stop(t)
 	delete(c.probes, id)
 	if report != nil {
-		c.M.Reports.Inc()
+		c.Metrics.Reports.Inc()
 	}
 	c.tell(tinbeam.Sampled{Switch: id, Code: code, Took: max(took, time.Microsecond), Report: report})
 }
 
-// Clear gives every call that is owed one its final answer: there is no more time. What stands goes on.
-func (c *Core) Clear() {
+// FailPending gives every call that is owed one its final answer: there is no more time. What stands goes on.
+func (c *Core) FailPending() {
 	for _, ref := range slices.Sorted(maps.Keys(c.calls)) {
 		if k := c.calls[ref]; k != nil {
-			c.GiveUp(k)
+			c.Fail(k)
 		}
 	}
 }
 
-// GiveUp gives a call that is owed one its final answer: it failed.
-func (c *Core) GiveUp(k *Call) {
+// Fail gives a call that is owed one its final answer: it failed.
+func (c *Core) Fail(k *Call) {
 	if !k.answered {
-		c.M.LateAnswers.Inc()
+		c.Metrics.LateAnswers.Inc()
 		c.refuse(k, true, 0)
 		c.tell(tinbeam.Withdrawn{Ref: k.ref})
 	}
 }
 
-// Owed is how many calls wait for their final answer.
-func (c *Core) Owed() int { return c.owed }
+// PendingCalls is how many calls wait for their final answer.
+func (c *Core) PendingCalls() int { return c.owed }
 
-// Held is how many calls wait for their final answer or stand.
-func (c *Core) Held() int { return len(c.calls) }
+// OpenCalls is how many calls wait for their final answer or stand.
+func (c *Core) OpenCalls() int { return len(c.calls) }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -35,7 +35,7 @@
 	b.sent = append(b.sent, a)
 	b.did = append(b.did, fmt.Sprint("set up ", a.Call.ID))
 }
-func (b farBench) GiveUp(a *Attempt)             { b.did = append(b.did, "give up "+a.Call.ID) }
+func (b farBench) Cancel(a *Attempt)             { b.did = append(b.did, "give up "+a.Call.ID) }
 func (b farBench) Release(a *Attempt, cause int) { b.did = append(b.did, "release "+a.Call.ID) }
 func (b farBench) Probe(id uint32)               { b.did = append(b.did, "probe") }
 
@@ -52,11 +52,11 @@
 }
 
 func (b *bench) list(m tinbeam.Mode) {
-	b.Listed(1, tinbeam.ListDelta, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: m}}, farBench{b})
+	b.UpdateFarEnds(1, tinbeam.ListDelta, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: m}}, farBench{b})
 }
 
 func (b *bench) offer(id string, left time.Duration) *Call {
-	k := &Call{ID: id, Width: 1, Left: left, Dest: 1, Via: -1, Caller: b}
+	k := &Call{ID: id, Width: 1, TimeLeft: left, Dest: 1, Via: -1, Caller: b}
 	b.Offer(k)
 	return k
 }
@@ -74,7 +74,7 @@
 	if !reflect.DeepEqual(b.did, want) {
 		t.Errorf("did %q, want %q", b.did, want)
 	}
-	if v := b.M.Violations.Value() + b.M.Panics.Value(); v != 0 {
+	if v := b.Metrics.Violations.Value() + b.Metrics.Panics.Value(); v != 0 {
 		t.Errorf("%d violations or panics", v)
 	}
 }
@@ -101,8 +101,8 @@
 	b.Ended(b.sent[0], tinbeam.Full, 0, nil, 34)
 	b.run(time.Second)
 	b.expect(t, "set up a", "give up a", "refuse a false")
-	if b.Owed() != 0 || len(b.Core.calls) != 0 {
-		t.Errorf("%d owed, %d held", b.Owed(), len(b.Core.calls))
+	if b.PendingCalls() != 0 || len(b.Core.calls) != 0 {
+		t.Errorf("%d owed, %d held", b.PendingCalls(), len(b.Core.calls))
 	}
 }
 
@@ -122,7 +122,7 @@
 	b.Ended(b.sent[0], tinbeam.OK, 0, nil, 16) // the far end's own release crosses the caller's
 	b.Hangup(k, 16)
 	b.expect(t, "set up a", "answer a x", "release a")
-	if n := b.M.Established.Value(); n != 0 {
+	if n := b.Metrics.Established.Value(); n != 0 {
 		t.Errorf("%d stand", n)
 	}
 }
@@ -133,11 +133,11 @@
 	b.offer("a", 5*time.Second)
 	b.offer("b", 5*time.Second)
 	b.Answered(b.sent[0], "x")
-	b.Clear()
-	b.Clear()
+	b.FailPending()
+	b.FailPending()
 	b.expect(t, "set up a", "set up b", "answer a x", "give up b", "refuse b true")
-	if b.Owed() != 0 || b.M.Established.Value() != 1 {
-		t.Errorf("%d owed, %d stand", b.Owed(), b.M.Established.Value())
+	if b.PendingCalls() != 0 || b.Metrics.Established.Value() != 1 {
+		t.Errorf("%d owed, %d stand", b.PendingCalls(), b.Metrics.Established.Value())
 	}
 }
 
@@ -145,7 +145,7 @@
 // often they change, the table of classes does not grow.
 func TestRetune(t *testing.T) {
 	b := newBench(nil)
-	was := b.Set
+	was := b.Settings
 	b.offer("a", 5*time.Second)
 	b.offer("b", 5*time.Second)
 	now := was
@@ -153,7 +153,7 @@
 		{Name: "pull", AnswerTarget: time.Second, HardLimit: time.Second, RepeatPolicy: "free"}}
 	now.Classes[0].RepeatPolicy, now.MaxAttempts = "single_shot", 2
 	b.Retune(now)
-	k := &Call{ID: "c", Class: b.Class("check"), Width: 1, Left: 5 * time.Second, Dest: 1, Via: -1, Caller: b}
+	k := &Call{ID: "c", Class: b.ClassIndex("check"), Width: 1, TimeLeft: 5 * time.Second, Dest: 1, Via: -1, Caller: b}
 	b.Offer(k)
 	for _, at := range b.sent {
 		b.Ended(at, tinbeam.Failed, 0, nil, 47)
@@ -163,15 +163,15 @@
 	b.expect(t, "set up a", "set up b", "set up c", "set up a", "set up b", "refuse c true", "refuse a false")
 	now.Classes, now.MaxAttempts = now.Classes[1:], 1
 	b.Retune(now)
-	if b.Class("check") >= 0 || b.Class("pull") < 0 || b.Set.Classes[b.sent[4].Call.Class].RepeatPolicy != "free" {
-		t.Errorf("%+v", b.Set.Classes)
+	if b.ClassIndex("check") >= 0 || b.ClassIndex("pull") < 0 || b.Settings.Classes[b.sent[4].Call.Class].RepeatPolicy != "free" {
+		t.Errorf("%+v", b.Settings.Classes)
 	}
 	b.Ended(b.sent[4], tinbeam.Failed, 0, nil, 47)
 	for i := 0; i < 100; i++ {
 		now.Classes = []tinbeam.Class{{Name: "check", HardLimit: time.Duration(i + 1)}}
 		b.Retune(now)
 	}
-	if n := len(b.Set.Classes); n > 3 {
+	if n := len(b.Settings.Classes); n > 3 {
 		t.Errorf("%d classes", n)
 	}
 }
@@ -187,7 +187,7 @@
 func TestWholeListOfOneSide(t *testing.T) {
 	b := newBench(nil)
 	other := farBench{&bench{}}
-	b.Listed(2, tinbeam.ListFull, []tinbeam.Entry{{Switch: 8, ExchangeNumber: 2, Mode: tinbeam.Ready}}, other)
+	b.UpdateFarEnds(2, tinbeam.ListFull, []tinbeam.Entry{{Switch: 8, ExchangeNumber: 2, Mode: tinbeam.Ready}}, other)
 	b.offer("a", 5*time.Second)
 	b.expect(t, "set up a")
 }
@@ -197,7 +197,7 @@
 	b := newBench(nil)
 	b.offer("a", 5*time.Second)
 	for id := uint32(8); id < 100; id++ {
-		b.Listed(uint64(id), tinbeam.ListDelta, []tinbeam.Entry{{Switch: id - 1, ExchangeNumber: 1, Mode: tinbeam.Gone},
+		b.UpdateFarEnds(uint64(id), tinbeam.ListDelta, []tinbeam.Entry{{Switch: id - 1, ExchangeNumber: 1, Mode: tinbeam.Gone},
 			{Switch: id, ExchangeNumber: 1, Mode: tinbeam.Ready}}, farBench{b})
 	}
 	if n := len(b.places); n != 3 || b.places[7] == nil { // the last, the one before, and where the call is out
@@ -231,7 +231,7 @@
 	if want := []string{"set up a", "give up a", "refuse a true"}; !reflect.DeepEqual(b.did, want) {
 		t.Errorf("did %q, want %q", b.did, want)
 	}
-	if b.M.Panics.Value() == 0 || !k.answered || b.M.LateAnswers.Value() != 1 {
+	if b.Metrics.Panics.Value() == 0 || !k.answered || b.Metrics.LateAnswers.Value() != 1 {
 		t.Error("not counted")
 	}
 }
@@ -243,7 +243,7 @@
 	for i := 0; i < queueMost; i++ {
 		l.Post(func() { did++ })
 	}
-	l.PostEnd(func() {
+	l.PostNonBlocking(func() {
 		if did != queueMost {
 			t.Errorf("told after %d of %d events", did, queueMost)
 		}
@@ -276,10 +276,10 @@
 }
 
 func TestKey(t *testing.T) {
-	if Key("") != 0 || Key("7f3a9c21e0b4d655") != 0x7f3a9c21e0b4d655 || Key("71") != 0x71 {
+	if NumberKey("") != 0 || NumberKey("7f3a9c21e0b4d655") != 0x7f3a9c21e0b4d655 || NumberKey("71") != 0x71 {
 		t.Error("hex digits are the number itself")
 	}
-	if a, b := Key("71#"), Key("desk.one"); a == 0 || b == 0 || a == b || a != Key("71#") {
+	if a, b := NumberKey("71#"), NumberKey("desk.one"); a == 0 || b == 0 || a == b || a != NumberKey("71#") {
 		t.Error("other numbers are told apart")
 	}
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -63,9 +63,9 @@
 // Post queues an event. It is the only method that other goroutines may call.
 func (l *Loop) Post(fn func()) { l.queue <- fn }
 
-// PostEnd queues the end of something that has one end, as a connection. It never waits. Guards against a loop that waits
+// PostNonBlocking queues the end of something that has one end, as a connection. It never waits. Guards against a loop that waits
 // for itself: it may be the loop that closed the connection, with the queue full. What is queued there comes ahead.
-func (l *Loop) PostEnd(fn func()) {
+func (l *Loop) PostNonBlocking(fn func()) {
 	select {
 	case l.queue <- fn:
 	default:
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -152,7 +152,7 @@
 	}
 	ready()
 	a.loop.After(readyAfter, a.ready)
-	if !a.ln.Passed() {
+	if !a.ln.Inherited() {
 		a.ln.Serve() // a test that comes early waits for the agent; on a passed socket others may answer it
 	}
 }
@@ -176,7 +176,7 @@
 		a.M.Drains.Inc()
 	}
 	a.log.Info("drain", zap.Bool("callers are sent away", on))
-	a.loop.PostEnd(func() {
+	a.loop.PostNonBlocking(func() {
 		switch {
 		case a.ending:
 		case a.away.Load():
@@ -304,25 +304,25 @@
 		a.loop.Post(func() {
 			a.ending = true
 			longest, most := time.Duration(0), termMost
-			if a.ln.Passed() {
+			if a.ln.Inherited() {
 				// Guards what comes from now on: it is for the process that holds the socket next. Who is connected already is
 				// served, and sent there as soon as it waits for nothing.
-				a.ln.Leave()
+				a.ln.StopAccepting()
 				a.callers.Drain(&handPace)
 				most = handMost
 			}
-			for _, k := range a.core.Set.Classes {
+			for _, k := range a.core.Settings.Classes {
 				longest = max(longest, min(k.HardLimit, most))
 			}
 			over := func() {
-				a.ln.Shut()
+				a.ln.RejectNew()
 				a.fars.Close()
 				a.callers.Close()
 				a.loop.After(termFlush, a.end)
 			}
 			var look func()
 			look = func() {
-				if a.core.Held() == 0 && a.callers.OpenCalls() == 0 {
+				if a.core.OpenCalls() == 0 && a.callers.OpenCalls() == 0 {
 					over()
 					return
 				}
@@ -330,7 +330,7 @@
 			}
 			a.loop.After(termStay, look)
 			a.loop.After(longest+termLeave, a.callers.RefuseNewCalls)
-			a.loop.After(longest+termClear, a.core.Clear)
+			a.loop.After(longest+termClear, a.core.FailPending)
 			a.loop.After(longest+termOver, over)
 		})
 	})
--- a/internal/debug/debug.go
+++ b/internal/debug/debug.go
@@ -8,8 +8,8 @@
 	"tinbeam/internal/metrics"
 )
 
-// Must states that ok holds, and returns it, so that the caller can act safely where it does not.
-func Must(ok bool, c *metrics.Counter, format string, args ...any) bool {
+// Check states that ok holds, and returns it, so that the caller can act safely where it does not.
+func Check(ok bool, c *metrics.Counter, format string, args ...any) bool {
 	if !ok {
 		c.Inc()
 		if asserting {
--- a/internal/debug/debug_test.go
+++ b/internal/debug/debug_test.go
@@ -11,7 +11,7 @@
 	m := metrics.New()
 	stopped := func(ok bool) (stopped bool) {
 		defer func() { stopped = recover() != nil }()
-		if Must(ok, m.Violations, "case %v", ok) != ok {
+		if Check(ok, m.Violations, "case %v", ok) != ok {
 			t.Errorf("Must(%v) says otherwise", ok)
 		}
 		return false
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -26,10 +26,11 @@
 	writeTimeout = 3 * time.Second // a peer that reads nothing for so long is gone
 )
 
-// Ticket lets a message be taken back as long as it has not been handed to the kernel. Count, where there is one, counts it then.
-type Ticket struct {
-	Count interface{ Inc() }
-	state atomic.Int32
+// SendHandle lets a message be taken back as long as it has not been handed to the kernel.
+// Counter, where there is one, counts it then.
+type SendHandle struct {
+	Counter interface{ Inc() }
+	state   atomic.Int32
 }
 
 const (
@@ -39,15 +40,15 @@
 )
 
 // Withdraw takes the message back, and tells whether that came in time.
-func (t *Ticket) Withdraw() bool { return t.state.CompareAndSwap(waiting, withdrawn) }
+func (t *SendHandle) Withdraw() bool { return t.state.CompareAndSwap(waiting, withdrawn) }
 
 // Written tells whether the message has been handed to the kernel.
-func (t *Ticket) Written() bool { return t.state.Load() == written }
+func (t *SendHandle) Written() bool { return t.state.Load() == written }
 
-// Events is what a connection tells of itself. Data takes whole messages from the front of b and tells how
+// Handler is what a connection tells of itself. Data takes whole messages from the front of b and tells how
 // many bytes they had; an error closes the connection after what is queued has been written. Closed
 // comes once, after the last Data.
-type Events interface {
+type Handler interface {
 	Data(c *Conn, b []byte) (int, error)
 	Closed(c *Conn)
 }
@@ -55,7 +56,7 @@
 // Conn is one connection.
 type Conn struct {
 	np     netpoll.Connection
-	events Events
+	events Handler
 	in     []byte
 	part   atomic.Int64 // since when the start of a message has waited for its rest, on the clock of clock; 0: none
 
@@ -72,10 +73,10 @@
 
 type message struct {
 	bytes  []byte
-	ticket *Ticket
+	ticket *SendHandle
 }
 
-func attach(np netpoll.Connection, most int, events func(*Conn) Events) *Conn {
+func attach(np netpoll.Connection, most int, events func(*Conn) Handler) *Conn {
 	c := &Conn{np: np, most: most}
 	c.wake.L = &c.mu
 	// Guards against an owner that learns of the connection in events, on another goroutine, and closes it at once.
@@ -91,7 +92,7 @@
 }
 
 // Dial opens a connection, or gives up after the timeout. It blocks: never call it on the core's goroutine.
-func Dial(addr string, timeout time.Duration, ev Events) (*Conn, error) {
+func Dial(addr string, timeout time.Duration, ev Handler) (*Conn, error) {
 	np, err := netpoll.DialConnection("tcp", addr, timeout)
 	if errors.Is(err, netpoll.ErrConnClosed) {
 		// Guards the calls that stand: netpoll 0.7 says the same of a refused connection and, one time in fifty, of one
@@ -105,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := attach(np, maxQueued, func(*Conn) Events { return ev })
+	c := attach(np, maxQueued, func(*Conn) Handler { return ev })
 	if err := np.SetOnRequest(c.onRequest); err != nil {
 		c.Close()
 		return nil, err
@@ -132,7 +133,7 @@
 // Listen opens addr; accept gives each new connection its events. More connections than most are closed at once: the
 // descriptors that are left belong to the far ends. On each at most queued bytes wait for a peer that does not read.
 // Nothing is taken in before Serve.
-func Listen(addr string, most, queued int, accept func(*Conn) Events) (*Listener, error) {
+func Listen(addr string, most, queued int, accept func(*Conn) Handler) (*Listener, error) {
 	conf := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error { return narrow(raw) }}
 	ln, err := conf.Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -143,7 +144,7 @@
 
 // Inherit is Listen on a socket that listens already and was passed to this process as a descriptor. Other processes hold
 // it too, so it is never shut down here: what this one does not take in is theirs.
-func Inherit(fd, most, queued int, accept func(*Conn) Events) (*Listener, error) {
+func Inherit(fd, most, queued int, accept func(*Conn) Handler) (*Listener, error) {
 	f := os.NewFile(uintptr(fd), "passed socket")
 	if f == nil {
 		return nil, fmt.Errorf("descriptor %d: %w", fd, os.ErrInvalid)
@@ -172,7 +173,7 @@
 	})
 }
 
-func listener(ln net.Listener, passed bool, most, queued int, accept func(*Conn) Events) (*Listener, error) {
+func listener(ln net.Listener, passed bool, most, queued int, accept func(*Conn) Handler) (*Listener, error) {
 	type key struct{}
 	np, err := netpoll.ConvertListener(ln)
 	if err != nil {
@@ -244,19 +245,19 @@
 // Addr is where it listens.
 func (l *Listener) Addr() string { return l.door.Addr().String() }
 
-// Passed tells whether the socket is held by other processes too.
-func (l *Listener) Passed() bool { return l.passed }
+// Inherited tells whether the socket is held by other processes too.
+func (l *Listener) Inherited() bool { return l.passed }
 
-// Leave takes nothing more from a passed socket, which is for its other holders; those that are open stay.
-func (l *Listener) Leave() { l.door.left.Store(true) }
+// StopAccepting takes nothing more from a passed socket, which is for its other holders; those that are open stay.
+func (l *Listener) StopAccepting() { l.door.left.Store(true) }
 
-// Shut has every further connection closed as it comes; those that are open stay.
-func (l *Listener) Shut() { l.most.Store(0) }
+// RejectNew has every further connection closed as it comes; those that are open stay.
+func (l *Listener) RejectNew() { l.most.Store(0) }
 
 // Close stops listening and closes what it took in.
 func (l *Listener) Close() {
 	l.serve.Do(func() {})
-	l.Leave()
+	l.StopAccepting()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_ = l.loop.Shutdown(ctx)
@@ -282,7 +283,7 @@
 		used = min(max(used, 0), len(c.in))
 		c.in = append(c.in[:0], c.in[used:]...)
 		if err != nil || len(c.in) > maxInput {
-			c.Finish()
+			c.CloseAfterFlush()
 		}
 		if len(c.in) == 0 {
 			c.part.Store(0)
@@ -309,8 +310,8 @@
 	return func() time.Duration { return time.Since(start) + 1 }
 }()
 
-// Stuck is how long the start of a message has waited for its rest; 0: there is none.
-func (c *Conn) Stuck() time.Duration {
+// StalledFor is how long the start of a message has waited for its rest; 0: there is none.
+func (c *Conn) StalledFor() time.Duration {
 	if at := c.part.Load(); at != 0 {
 		return clock() - time.Duration(at)
 	}
@@ -319,7 +320,7 @@
 
 // Send queues a message; it never blocks. It tells false where the connection is closed or its peer has not
 // read for so long that the queue is full, which ends the connection. A nil ticket cannot be withdrawn.
-func (c *Conn) Send(b []byte, t *Ticket) bool {
+func (c *Conn) Send(b []byte, t *SendHandle) bool {
 	c.mu.Lock()
 	if c.closing || c.closed {
 		c.mu.Unlock()
@@ -347,8 +348,8 @@
 	c.wake.Signal()
 }
 
-// Finish closes the connection once all that is queued has been written.
-func (c *Conn) Finish() {
+// CloseAfterFlush closes the connection once all that is queued has been written.
+func (c *Conn) CloseAfterFlush() {
 	c.mu.Lock()
 	c.closing = true
 	if !c.closed {
@@ -390,8 +391,8 @@
 			c.queued -= len(m.bytes)
 			if m.ticket == nil || m.ticket.state.CompareAndSwap(waiting, written) {
 				batch = append(batch, m.bytes...)
-				if m.ticket != nil && m.ticket.Count != nil {
-					m.ticket.Count.Inc()
+				if m.ticket != nil && m.ticket.Counter != nil {
+					m.ticket.Counter.Inc()
 				}
 			}
 		}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -83,7 +83,7 @@
 // What is withdrawn before it is written never leaves; what is behind it does, and the end is told once.
 func TestWithdraw(t *testing.T) {
 	c, peer, ev := pair(t)
-	var a, b Ticket
+	var a, b SendHandle
 	if !a.Withdraw() || a.Withdraw() {
 		t.Error("a waiting message is withdrawn once")
 	}
@@ -125,7 +125,7 @@
 		}
 	}()
 	for i := 0; i < 300; i++ {
-		l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Events { return quiet{make(chan struct{})} })
+		l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Handler { return quiet{make(chan struct{})} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -151,7 +151,7 @@
 
 // Guards the descriptors: more connections than allowed are closed at once, and the others go on.
 func TestConnectionsBounded(t *testing.T) {
-	l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Events { return quiet{make(chan struct{})} })
+	l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Handler { return quiet{make(chan struct{})} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,7 +209,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := Inherit(fd, 100, maxQueued, func(*Conn) Events { return quiet{make(chan struct{})} })
+		l, err := Inherit(fd, 100, maxQueued, func(*Conn) Handler { return quiet{make(chan struct{})} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -229,7 +229,7 @@
 	for old.open.Load() != 1 {
 		time.Sleep(time.Millisecond)
 	}
-	old.Leave()
+	old.StopAccepting()
 	next := inherit()
 	defer next.Close()
 	for i := int64(1); i <= 20; i++ {
--- a/internal/mgcp/front.go
+++ b/internal/mgcp/front.go
@@ -13,7 +13,7 @@
 
 	"tinbeam"
 	"tinbeam/internal/agent"
-	must "tinbeam/internal/debug"
+	invariant "tinbeam/internal/debug"
 )
 
 // Gateway is one gateway in the operator's file.
@@ -98,7 +98,7 @@
 func New(core *agent.Core, log *zap.Logger, plan Config, seed uint64, send Send) *FrontEnd {
 	f := &FrontEnd{core: core, log: log, plan: plan, byName: map[string]*gateway{}, byID: map[uint32]*gateway{},
 		rng: rand.New(rand.NewPCG(seed, 0x36c9))}
-	f.tx = newTransactions(core.Loop, core.M, f.rng.Uint32(), send, f.command)
+	f.tx = newTransactions(core.Loop, core.Metrics, f.rng.Uint32(), send, f.command)
 	for _, g := range plan.Gateways {
 		gw := &gateway{Gateway: g, mode: tinbeam.Ready}
 		gw.addr, _ = netip.ParseAddrPort(g.Address) // checked when the operator's file was read
@@ -131,7 +131,7 @@
 			OnlineSince: gw.since, NoTransit: true}
 	}
 	f.version++
-	f.core.Listed(f.version, tinbeam.ListDelta, entries, farSide{f})
+	f.core.UpdateFarEnds(f.version, tinbeam.ListDelta, entries, farSide{f})
 	for _, gw := range changed {
 		f.report(gw)
 	}
@@ -145,8 +145,8 @@
 			free++
 		}
 	}
-	r := make([]float32, len(f.core.Set.ReportFields))
-	for i, name := range f.core.Set.ReportFields {
+	r := make([]float32, len(f.core.Settings.ReportFields))
+	for i, name := range f.core.Settings.ReportFields {
 		switch name {
 		case "idle":
 			r[i] = float32(free)
@@ -224,7 +224,7 @@
 // restart takes an RSIP. What stood at a gateway that starts anew is over, and is ended once: its lines hold nothing
 // afterwards, so a second RSIP finds nothing to end.
 func (f *FrontEnd) restart(gw *gateway, lines []*line, whole bool, m *Message) {
-	f.core.M.MGCPRestarts.Inc()
+	f.core.Metrics.MGCPRestarts.Inc()
 	method, _ := m.Get("RM")
 	f.log.Info("gateway restarts", zap.String("gateway", gw.Name), zap.String("method", method))
 	mode := tinbeam.Ready
@@ -301,7 +301,7 @@
 func (f *FrontEnd) left(leg *callerLeg, cause int) {
 	switch {
 	case leg.call == nil:
-	case leg.call.Standing():
+	case leg.call.Established():
 		f.core.Hangup(leg.call, cause)
 	default:
 		f.core.Abandoned(leg.call)
@@ -330,7 +330,7 @@
 
 func (f *FrontEnd) offHook(l *line) {
 	if leg := l.called; leg != nil {
-		if !leg.ended && leg.conn != "" && !leg.at.Standing() {
+		if !leg.ended && leg.conn != "" && !leg.at.Established() {
 			f.answered(leg)
 		}
 		return
@@ -354,7 +354,7 @@
 		f.clear(l, leg.id, leg.conn, leg.create)
 		return
 	}
-	if leg := l.called; leg != nil && !leg.ended && leg.at.Standing() {
+	if leg := l.called; leg != nil && !leg.ended && leg.at.Established() {
 		leg.ended, l.called = true, nil
 		f.core.Ended(leg.at, tinbeam.OK, 0, nil, 16)
 		f.clear(l, leg.at.Call.ID, leg.conn, leg.create)
@@ -410,14 +410,15 @@
 		f.tone(leg, "L/ro")
 		return
 	}
-	of := f.core.Class(l.gw.Class)
+	of := f.core.ClassIndex(l.gw.Class)
 	if of < 0 { // the settings have dropped it
 		f.tone(leg, "L/ro")
 		return
 	}
-	class := f.core.Set.Classes[of]
-	k := &agent.Call{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Number: leg.digits, Key: agent.Key(leg.digits), Class: of,
-		Width: class.Width, Left: class.HardLimit, Dest: place, Via: -1, Caller: f, Leg: leg}
+	class := f.core.Settings.Classes[of]
+	k := &agent.Call{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Number: leg.digits, NumberKey: agent.NumberKey(leg.digits),
+		Class: of,
+		Width: class.Width, TimeLeft: class.HardLimit, Dest: place, Via: -1, Caller: f, Leg: leg}
 	leg.id = k.ID
 	m := (&Message{Verb: "CRCX", Endpoint: l.name}).With("C", k.ID).With("M", "recvonly")
 	leg.create = f.tx.request(l.gw.addr, f.notify(l, m, "L/hu(N)", ""), func(r *Message) {
@@ -485,7 +486,8 @@
 // SetUp makes a connection at a free line. A gateway is the end of a way: it takes calls for itself alone.
 func (f farSide) SetUp(a *agent.Attempt) {
 	gw := f.byID[a.Switch]
-	if !must.Must(gw != nil && a.Call.Dest == gw.Exchange, f.core.M.Violations, "call %s is for gateway %08x",
+	if !invariant.Check(gw != nil && a.Call.Dest == gw.Exchange, f.core.Metrics.Violations,
+		"call %s is for gateway %08x",
 		a.Call.ID, a.Switch) {
 		f.core.Ended(a, tinbeam.NotAttempted, 0, nil, 0)
 		return
@@ -558,8 +560,8 @@
 	f.core.Answered(leg.at, leg.sdp)
 }
 
-// GiveUp takes an attempt back.
-func (f farSide) GiveUp(a *agent.Attempt) { f.Release(a, 16) }
+// Cancel takes an attempt back.
+func (f farSide) Cancel(a *agent.Attempt) { f.Release(a, 16) }
 
 // Release ends an attempt that stands.
 func (f farSide) Release(a *agent.Attempt, _ int) {
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -155,7 +155,7 @@
 		for _, c := range slices.Clone(s.conns) {
 			for _, id := range slices.Sorted(maps.Keys(c.legs)) {
 				if leg := c.legs[id]; leg.open {
-					s.core.GiveUp(leg.call)
+					s.core.Fail(leg.call)
 				}
 			}
 		}
@@ -172,7 +172,7 @@
 // dismiss closes a connection with no set-up open on it while callers are sent away.
 func (c *callerConn) dismiss() {
 	if s := c.side; s.away != nil && s.closing && !c.over && c.open == 0 && c.ahead.Load() == 0 && c.said {
-		c.link.Finish()
+		c.link.CloseAfterFlush()
 		c.end()
 	}
 }
@@ -180,7 +180,7 @@
 // Close closes the connections behind what is still to be written on them.
 func (s *Callers) Close() {
 	for _, c := range slices.Clone(s.conns) {
-		c.link.Finish()
+		c.link.CloseAfterFlush()
 		c.end()
 	}
 }
@@ -220,13 +220,13 @@
 }
 
 // Accept gives a new connection its object.
-func (s *Callers) Accept(l *link.Conn) link.Events {
+func (s *Callers) Accept(l *link.Conn) link.Handler {
 	c := &callerConn{side: s, link: l, legs: map[string]*callLeg{}}
 	s.core.Post(func() {
 		s.came++
 		c.num, c.at = s.came, s.core.Now()
 		s.conns = append(s.conns, c)
-		s.core.M.CallerConnections.Set(int64(len(s.conns)))
+		s.core.Metrics.CallerConnections.Set(int64(len(s.conns)))
 		if len(s.conns) > s.room {
 			s.evict()
 		}
@@ -245,7 +245,7 @@
 		}
 	}
 	if pick != nil {
-		s.core.M.CallersEvicted.Inc()
+		s.core.Metrics.CallersEvicted.Inc()
 		pick.link.Close()
 		pick.end()
 	}
@@ -261,7 +261,7 @@
 	}
 	c.over = true
 	s.conns = slices.DeleteFunc(s.conns, func(o *callerConn) bool { return o == c })
-	s.core.M.CallerConnections.Set(int64(len(s.conns)))
+	s.core.Metrics.CallerConnections.Set(int64(len(s.conns)))
 	for _, id := range slices.Sorted(maps.Keys(c.legs)) {
 		if leg := c.legs[id]; leg.open { // a call that stands belongs to no connection
 			s.forget(id)
@@ -293,7 +293,7 @@
 		m, n, err := sip.Parse(b[used:])
 		used += n
 		if err != nil {
-			core.M.Malformed.Inc()
+			core.Metrics.Malformed.Inc()
 			c.side.log.Debug("caller cannot be read", zap.Error(err), zap.ByteString("from", b[used:min(len(b), used+160)]))
 			if m != nil && m.Method != "" && m.Method != "ACK" {
 				status, reason := 400, "Bad Request"
@@ -312,7 +312,7 @@
 		// reading it.
 		size := int64(n)
 		if c.ahead.Add(1) > aheadMost || c.side.ahead.Add(size) > int64(c.side.most) {
-			core.M.RateLimited.Inc()
+			core.Metrics.RateLimited.Inc()
 			if m.Method != "" && m.Method != "ACK" {
 				l.Send(m.Response(503, "Service Unavailable", "").Append(nil), nil)
 			}
@@ -332,7 +332,7 @@
 }
 
 // Closed tells that the connection has ended.
-func (c *callerConn) Closed(*link.Conn) { c.side.core.PostEnd(c.end) }
+func (c *callerConn) Closed(*link.Conn) { c.side.core.PostNonBlocking(c.end) }
 
 // touch keeps the connections in the order in which they last said something.
 func (c *callerConn) touch() {
@@ -354,7 +354,7 @@
 func (c *callerConn) wrongly(m *sip.Message, status int, reason string, more ...sip.Header) {
 	c.send(m.Response(status, reason, "", more...))
 	if c.wrong++; c.wrong >= wrongMost && c.open == 0 {
-		c.link.Finish()
+		c.link.CloseAfterFlush()
 		c.end()
 	}
 }
@@ -401,7 +401,7 @@
 		// comes and the call must not stand for ever.
 		if !leg.acked {
 			s.core.After(ackWait, func() {
-				if k := leg.call; s.legs[id] == leg && !leg.acked && leg.bye == nil && k.Standing() {
+				if k := leg.call; s.legs[id] == leg && !leg.acked && leg.bye == nil && k.Established() {
 					// Guards a caller that did take the answer, and whose word of it has not come: to it the call would stand.
 					s.core.Hangup(k, 16)
 					s.Release(k, 16)
@@ -414,7 +414,7 @@
 			return
 		}
 		c.send(m.Response(200, "OK", ""))
-		if leg.bye != nil || leg.call.Standing() {
+		if leg.bye != nil || leg.call.Established() {
 			s.over(id)
 			if leg.bye == nil {
 				s.core.Hangup(leg.call, cause(m.Get("Reason")))
@@ -430,11 +430,11 @@
 // unknown answers a request about a call that is not there: one that is just over was told so, any other never was.
 func (s *Callers) unknown(c *callerConn, id string, m *sip.Message) {
 	if _, ok := s.done[id]; ok {
-		s.core.M.Duplicates.Inc()
+		s.core.Metrics.Duplicates.Inc()
 		c.send(m.Response(200, "OK", ""))
 		return
 	}
-	s.core.M.StrayMessages.Inc()
+	s.core.Metrics.StrayMessages.Inc()
 	c.send(m.Response(481, "Call/Transaction Does Not Exist", ""))
 }
 
@@ -483,25 +483,25 @@
 	switch {
 	case done && on == c.num, leg != nil && leg.conn == c &&
 		(!leg.open || leg.call.Description == m.Body && leg.call.Number == m.User()):
-		s.core.M.Duplicates.Inc()
+		s.core.Metrics.Duplicates.Inc()
 		return
 	case leg != nil && leg.open && leg.conn == c:
 		// Two requests of one id on one connection: no answer to either could be told from the other's.
-		s.core.M.Malformed.Inc()
+		s.core.Metrics.Malformed.Inc()
 		s.over(id)
 		s.core.Abandoned(leg.call)
 		c.send(m.Response(400, "Bad Request", ""))
-		c.link.Finish()
+		c.link.CloseAfterFlush()
 		c.end()
 		return
 	case leg != nil || done:
-		s.core.M.Duplicates.Inc()
+		s.core.Metrics.Duplicates.Inc()
 		c.wrongly(m, 482, "Loop Detected")
 		return
 	}
 	k, err := s.parse(id, m)
 	if err != nil {
-		s.core.M.Malformed.Inc()
+		s.core.Metrics.Malformed.Inc()
 		s.log.Debug("set-up refused", zap.Error(err))
 		c.wrongly(m, 400, "Bad Request")
 		return
@@ -512,8 +512,8 @@
 		leg.size += len(h.Name) + len(h.Value)
 	}
 	if s.leaving || s.refuse || c.open >= openMost || s.held+leg.size > s.most {
-		s.core.M.RateLimited.Inc()
-		s.core.Declined(k)
+		s.core.Metrics.RateLimited.Inc()
+		s.core.CountRefused(k)
 		c.send(m.Response(503, "Service Unavailable", ""))
 		c.dismiss()
 		return
@@ -548,21 +548,21 @@
 	case len(k.Description)+len(k.Number) > farend.MaxLine/8 && len(launch(k, "", 0).Append(nil)) > farend.MaxLine-64:
 		return nil, fmt.Errorf("the description is too long to be passed on")
 	}
-	if k.Class = s.core.Class(m.Get("P-Kind")); k.Class < 0 {
+	if k.Class = s.core.ClassIndex(m.Get("P-Kind")); k.Class < 0 {
 		return nil, fmt.Errorf("class %q is not in the settings", m.Get("P-Kind"))
 	}
-	class := s.core.Set.Classes[k.Class]
-	k.Width, k.Left = class.Width, class.HardLimit
+	class := s.core.Settings.Classes[k.Class]
+	k.Width, k.TimeLeft = class.Width, class.HardLimit
 	if v := m.Get("P-Time-Left"); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(ms >= 0 && ms < 1e9) {
 			return nil, fmt.Errorf("P-Time-Left %q", v)
 		}
-		k.Left = time.Duration(ms * float64(time.Millisecond))
+		k.TimeLeft = time.Duration(ms * float64(time.Millisecond))
 	}
-	k.Key = agent.Key(k.Number)
+	k.NumberKey = agent.NumberKey(k.Number)
 	if m.Get("P-Second-Try") == "1" {
-		k.Opts |= tinbeam.FlagRedial
+		k.Flags |= tinbeam.FlagRedial
 	}
 	for _, part := range strings.Split(m.Get("P-Path"), ";") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), ":")
@@ -585,11 +585,11 @@
 			k.Via = int(v)
 		case "transit":
 			if v == 1 {
-				k.Opts |= tinbeam.FlagTransit
+				k.Flags |= tinbeam.FlagTransit
 			}
 		case "again":
 			if v == 1 {
-				k.Opts |= tinbeam.FlagRepeated
+				k.Flags |= tinbeam.FlagRepeated
 			}
 		}
 	}
@@ -710,12 +710,12 @@
 	s.sendByes()
 	for _, c := range slices.Clone(s.conns) {
 		// Guards the descriptors against those that open a connection, or begin a message, and say nothing more.
-		if !c.said && s.core.Now()-c.at > silentMost || c.link.Stuck() > silentMost {
-			s.core.M.CallersTimedOut.Inc()
+		if !c.said && s.core.Now()-c.at > silentMost || c.link.StalledFor() > silentMost {
+			s.core.Metrics.CallersTimedOut.Inc()
 			c.link.Close()
 			c.end()
 		}
 	}
 	s.dismiss()
-	s.core.M.QueueLength.Set(int64(s.core.Queued()))
+	s.core.Metrics.QueueLength.Set(int64(s.core.Queued()))
 }
--- a/internal/platform/callers_test.go
+++ b/internal/platform/callers_test.go
@@ -129,8 +129,8 @@
 	quiet := dial()
 	now += youngMost
 	dial()
-	if len(s.conns) != 2 || s.conns[0] != stands || s.core.M.CallersEvicted.Value() != 1 {
-		t.Errorf("%d connections, %d closed", len(s.conns), s.core.M.CallersEvicted.Value())
+	if len(s.conns) != 2 || s.conns[0] != stands || s.core.Metrics.CallersEvicted.Value() != 1 {
+		t.Errorf("%d connections, %d closed", len(s.conns), s.core.Metrics.CallersEvicted.Value())
 	}
 	quiet.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if n, err := quiet.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -156,7 +156,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	s.core.Step()
-	if s.core.M.Offered.Value() != 0 || len(s.legs) != 0 {
+	if s.core.Metrics.Offered.Value() != 0 || len(s.legs) != 0 {
 		t.Error("it was handled")
 	}
 }
@@ -187,7 +187,7 @@
 	offer := func(c *callerConn, id string) {
 		s.invite(c, id, invite(id, "check", "9000", "dest:1", "v=0"))
 	}
-	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
+	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
 	open(3)
 	busy, last, quiet := s.conns[0], s.conns[1], s.conns[2]
 	s.Drain(pace)
@@ -208,7 +208,7 @@
 	if !quiet.over || busy.over || last.over {
 		t.Errorf("closed: %t %t %t", quiet.over, busy.over, last.over)
 	}
-	s.core.GiveUp(s.legs["9b1f03aa5c7e2d41"].call)
+	s.core.Fail(s.legs["9b1f03aa5c7e2d41"].call)
 	if !busy.over {
 		t.Error("not closed behind its answer")
 	}
@@ -218,8 +218,8 @@
 		t.Error("a set-up was taken when no more should be")
 	}
 	pass(time.Second)
-	if len(s.conns) != 0 || s.core.Owed() != 0 {
-		t.Errorf("%d connections, %d answers owed", len(s.conns), s.core.Owed())
+	if len(s.conns) != 0 || s.core.PendingCalls() != 0 {
+		t.Errorf("%d connections, %d answers owed", len(s.conns), s.core.PendingCalls())
 	}
 	got, err := io.ReadAll(peers[1])
 	if n := bytes.Count(got, []byte("SIP/2.0 5")); n != 2 || err != nil {
@@ -235,7 +235,7 @@
 		*n.last = a
 	}
 }
-func (nowhere) GiveUp(*agent.Attempt)       {}
+func (nowhere) Cancel(*agent.Attempt)       {}
 func (nowhere) Release(*agent.Attempt, int) {}
 func (nowhere) Probe(uint32)                {}
 
@@ -244,7 +244,7 @@
 func TestReleaseReachesCallers(t *testing.T) {
 	now := time.Hour
 	s := sideOn(func() time.Duration { return now }, 10)
-	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
+	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
 	connect := dialer(t, s)
 	for i := 1; i <= 3; i++ {
 		connect()
@@ -292,7 +292,8 @@
 	now := time.Hour
 	s := sideOn(func() time.Duration { return now }, 10)
 	var out *agent.Attempt
-	s.core.Listed(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{&out})
+	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}},
+		nowhere{&out})
 	peer := dialer(t, s)()
 	for len(s.conns) < 1 {
 		s.core.Step()
@@ -314,7 +315,7 @@
 		got = append(got, buf[:n]...)
 	}
 	c.message(&sip.Message{Status: 481, Headers: []sip.Header{{Name: "Call-ID", Value: m.Get("Call-ID")}, {Name: "CSeq", Value: "1 BYE"}}})
-	if s.OpenCalls() != 0 || s.core.Held() != 0 {
-		t.Errorf("%d and %d calls are held", s.OpenCalls(), s.core.Held())
+	if s.OpenCalls() != 0 || s.core.OpenCalls() != 0 {
+		t.Errorf("%d and %d calls are held", s.OpenCalls(), s.core.OpenCalls())
 	}
 }
--- a/internal/platform/fars.go
+++ b/internal/platform/fars.go
@@ -79,7 +79,7 @@
 type leg struct {
 	conn   *farConn
 	open   bool // it has no answer yet
-	ticket link.Ticket
+	ticket link.SendHandle
 	expire *agent.Timer // while it waits for a connection
 }
 
@@ -122,7 +122,7 @@
 				continue
 			}
 			x = &far{fars: f, id: e.Switch, attempts: map[string]*agent.Attempt{},
-				checks: map[string]time.Duration{}, heard: f.core.Now(), told: e.ExchangeNumber == f.core.Set.LocalExchange}
+				checks: map[string]time.Duration{}, heard: f.core.Now(), told: e.ExchangeNumber == f.core.Settings.LocalExchange}
 			f.byID[e.Switch] = x
 		}
 		if x.addr != e.Addr {
@@ -144,7 +144,7 @@
 		}
 	}
 	// The core hears first, so that the module's next choices are made on the new list; nothing is written in between.
-	f.core.Listed(version, kind, plain, f)
+	f.core.UpdateFarEnds(version, kind, plain, f)
 	for _, x := range changed {
 		x.follow()
 	}
@@ -156,8 +156,8 @@
 		// Guards the rule on drains: what waits to be written must not go out late.
 		for _, a := range x.sorted() {
 			l := a.Leg.(*leg)
-			if !a.Standing() && (l.conn == nil || l.ticket.Withdraw()) {
-				x.fars.core.M.AttemptsWithdrawn.Inc()
+			if !a.Established() && (l.conn == nil || l.ticket.Withdraw()) {
+				x.fars.core.Metrics.AttemptsWithdrawn.Inc()
 				x.forget(a)
 				x.fars.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
 			}
@@ -228,7 +228,7 @@
 
 // SetUp sends a set-up, or keeps it until a connection is up, no longer than one may take.
 func (f *FarEnds) SetUp(a *agent.Attempt) {
-	l := &leg{ticket: link.Ticket{Count: f.core.M.Launches}}
+	l := &leg{ticket: link.SendHandle{Counter: f.core.Metrics.Launches}}
 	a.Leg = l
 	x := f.byID[a.Switch]
 	if x == nil {
@@ -273,8 +273,8 @@
 func (c *farConn) launch(a *agent.Attempt) {
 	k, l := a.Call, a.Leg.(*leg)
 	core := c.far.fars.core
-	left := max(a.Left-(core.Now()-a.SentAt), time.Millisecond)
-	m := launch(k, core.Set.Classes[k.Class].Name, left)
+	left := max(a.Timeout-(core.Now()-a.SentAt), time.Millisecond)
+	m := launch(k, core.Settings.Classes[k.Class].Name, left)
 	l.conn, l.open = c, true
 	c.open++
 	if e := c.far.fars.log.Check(zap.DebugLevel, "set-up"); e != nil {
@@ -283,8 +283,8 @@
 	c.link.Send(m.Append(nil), &l.ticket) // if it is refused, the connection's end is told and ends the attempt
 }
 
-// GiveUp takes a set-up back, or calls it off.
-func (f *FarEnds) GiveUp(a *agent.Attempt) {
+// Cancel takes a set-up back, or calls it off.
+func (f *FarEnds) Cancel(a *agent.Attempt) {
 	l := a.Leg.(*leg)
 	x := f.byID[a.Switch]
 	if x == nil {
@@ -292,7 +292,7 @@
 	}
 	x.forget(a)
 	if l.conn == nil || l.ticket.Withdraw() {
-		f.core.M.AttemptsWithdrawn.Inc()
+		f.core.Metrics.AttemptsWithdrawn.Inc()
 		return
 	}
 	l.conn.link.Send((&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: farend.CauseNormal}).Append(nil), nil)
@@ -368,7 +368,7 @@
 // unreached: a connection did not come up. Refused, it proves that the process is gone, and what stood there.
 func (x *far) unreached(refused bool) {
 	core := x.fars.core
-	core.M.DialsFailed.Inc()
+	core.Metrics.DialsFailed.Inc()
 	x.redialAt = core.Now() + redialPause
 	x.ready()
 	if len(x.conns) > 0 {
@@ -415,7 +415,7 @@
 	}
 	x.conns = append(x.conns, c)
 	x.heard, x.testing = core.Now(), false
-	core.M.LinksUp.Inc()
+	core.Metrics.LinksUp.Inc()
 	for _, m := range x.releases {
 		l.Send(m, nil)
 	}
@@ -439,7 +439,7 @@
 		used += n
 		switch {
 		case err != nil:
-			core.M.Malformed.Inc()
+			core.Metrics.Malformed.Inc()
 			c.far.fars.log.Debug("far end cannot be read", zap.Error(err), zap.ByteString("from", b[used-n:min(len(b), used-n+160)]))
 			l.Close()
 			return used, err
@@ -452,7 +452,7 @@
 }
 
 // Closed tells that the connection has ended.
-func (c *farConn) Closed(*link.Conn) { c.far.fars.core.PostEnd(c.lost) }
+func (c *farConn) Closed(*link.Conn) { c.far.fars.core.PostNonBlocking(c.lost) }
 
 // lost: the set-ups that are open on a connection are given up with it; what stands belongs to no connection.
 func (c *farConn) lost() {
@@ -466,7 +466,7 @@
 	if core.Now()-c.upAt < resetPause {
 		x.pause() // reset when new, and the next one may be too
 	}
-	core.M.LinksLost.Inc()
+	core.Metrics.LinksLost.Inc()
 	x.fars.log.Debug("link lost", zap.String("far", x.addr), zap.Int("open", c.open))
 	first := x.conns[0] == c
 	x.conns = slices.DeleteFunc(x.conns, func(o *farConn) bool { return o == c })
@@ -475,7 +475,7 @@
 	}
 	for _, a := range x.sorted() {
 		l := a.Leg.(*leg)
-		if l.conn != c || a.Standing() {
+		if l.conn != c || a.Established() {
 			continue
 		}
 		x.forget(a)
@@ -504,25 +504,25 @@
 	case farend.Staging, farend.Stopped:
 	case farend.Running:
 		if a == nil {
-			core.M.StrayMessages.Inc() // it crossed the stop of its set-up, which ends it at the far end
+			core.Metrics.StrayMessages.Inc() // it crossed the stop of its set-up, which ends it at the far end
 			return
 		}
 		a.Leg.(*leg).answered()
 		core.Answered(a, m.Body)
 	case farend.Stop:
 		if a == nil {
-			core.M.StrayMessages.Inc()
+			core.Metrics.StrayMessages.Inc()
 			return
 		}
-		if a.Standing() {
+		if a.Established() {
 			c.link.Send((&farend.Message{Kind: farend.Stopped, UID: m.UID}).Append(nil), nil)
 		}
 		x.forget(a)
-		core.Ended(a, m.OutcomeCode(a.Standing()), m.Note(), m.Report(core.Set.ReportFields), m.Cause)
+		core.Ended(a, m.OutcomeCode(a.Established()), m.Note(), m.Report(core.Settings.ReportFields), m.Cause)
 	case farend.Usage:
 		// Guards against a state told twice: it comes on every connection, and the copy that comes second is older than
 		// the set-ups that the first one let go. Taken as news, it lets as many go again, and they find no circuit.
-		if c.state = m.Report(core.Set.ReportFields); c.state != nil && len(x.conns) > 0 && x.conns[0] == c {
+		if c.state = m.Report(core.Settings.ReportFields); c.state != nil && len(x.conns) > 0 && x.conns[0] == c {
 			core.Report(x.id, c.state)
 		}
 		x.ready()
@@ -534,7 +534,7 @@
 	case farend.Checked:
 		at, ok := x.checks[m.UID]
 		if !ok {
-			core.M.StrayMessages.Inc()
+			core.Metrics.StrayMessages.Inc()
 			return
 		}
 		delete(x.checks, m.UID)
@@ -542,9 +542,9 @@
 		if m.Cause != farend.CheckPassed {
 			code = tinbeam.Failed
 		}
-		core.Probed(x.id, code, core.Now()-at, m.Report(core.Set.ReportFields))
+		core.Probed(x.id, code, core.Now()-at, m.Report(core.Settings.ReportFields))
 	default:
-		core.M.Malformed.Inc()
+		core.Metrics.Malformed.Inc()
 	}
 }
 
@@ -559,7 +559,7 @@
 // stuck tells that a connection stays open and is of no more use: a line on it does not end, or the far end is heard on
 // others and not here.
 func (c *farConn) stuck(now time.Duration) bool {
-	return c.link.Stuck() > stuckAfter || c.missed >= 2*(len(c.far.conns)-1) && c.missed > 0 && now-c.missedAt > stuckAfter
+	return c.link.StalledFor() > stuckAfter || c.missed >= 2*(len(c.far.conns)-1) && c.missed > 0 && now-c.missedAt > stuckAfter
 }
 
 // sweep looks after what only time changes: connections to open, and far ends that have fallen silent.
@@ -567,7 +567,7 @@
 	core := x.fars.core
 	for _, c := range slices.Clone(x.conns) {
 		if c.stuck(core.Now()) {
-			core.M.StalledLinks.Inc()
+			core.Metrics.StalledLinks.Inc()
 			c.link.Close()
 		}
 	}
@@ -585,7 +585,7 @@
 	case quiet > silentAfter:
 		// A machine that vanished or is cut off says nothing, its connections stay open, and no new one came up.
 		x.fars.log.Warn("far end is silent", zap.String("id", changelog.FormatID(x.id)), zap.Int("calls", len(x.attempts)))
-		core.M.IdleLinks.Inc()
+		core.Metrics.IdleLinks.Inc()
 		x.cut(core.Now())
 		x.hangUp()
 	case quiet > testAfter && !x.testing:
@@ -601,7 +601,7 @@
 // owes tells whether a set-up has been out for so long.
 func (x *far) owes(long time.Duration) bool {
 	for _, a := range x.attempts {
-		if !a.Standing() && x.fars.core.Now()-a.SentAt > long {
+		if !a.Established() && x.fars.core.Now()-a.SentAt > long {
 			return true
 		}
 	}
@@ -614,7 +614,7 @@
 	if len(x.conns) >= linksMost {
 		for _, c := range x.conns {
 			open := slices.ContainsFunc(x.sorted(), func(a *agent.Attempt) bool {
-				return a.Leg.(*leg).conn == c && !a.Standing()
+				return a.Leg.(*leg).conn == c && !a.Established()
 			})
 			if !open { // nothing is given up with it
 				c.link.Close()
--- a/internal/platform/feed.go
+++ b/internal/platform/feed.go
@@ -63,7 +63,7 @@
 
 func (f *ChangeLogClient) apply(e changelog.Event, kind tinbeam.ListKind) {
 	f.seq = e.Seq
-	f.core.M.ListEvents.Inc()
+	f.core.Metrics.ListEvents.Inc()
 	f.fars.Listed(e.Seq, kind, e.Entries)
 }
 
@@ -102,15 +102,15 @@
 	}
 	switch {
 	case err != nil:
-		f.core.M.DialsFailed.Inc()
+		f.core.Metrics.DialsFailed.Inc()
 	case !wanted:
 		l.Close() // it leads to where the change log was before
 	case c.over:
 		// Guards against a link that broke before this was told of it: it would be waited on as if it were open.
-		f.core.M.DialsFailed.Inc()
+		f.core.Metrics.DialsFailed.Inc()
 	default:
 		c.link, f.conn, f.heard = l, c, f.core.Now()
-		f.core.M.ListReconnects.Inc()
+		f.core.Metrics.ListReconnects.Inc()
 		l.Send(changelog.ResumeRequest(f.seq), nil)
 	}
 }
@@ -121,7 +121,7 @@
 	for {
 		e, n, err := changelog.Parse(b[used:])
 		if err != nil {
-			c.feed.core.M.Malformed.Inc()
+			c.feed.core.Metrics.Malformed.Inc()
 			return used, err
 		}
 		if n == 0 {
@@ -142,12 +142,12 @@
 	case e.Kind == changelog.KeepAlive:
 	case e.Seq <= f.seq:
 		// Guards against an event told twice, a whole list too: what came behind it would be undone.
-		f.core.M.ListGaps.Inc()
+		f.core.Metrics.ListGaps.Inc()
 	case e.Kind == changelog.FullList:
 		f.apply(*e, tinbeam.ListFull)
 	case e.Seq > f.seq+1:
 		// Something was missed, and a change applies to what was before it: ask again from the last one held.
-		f.core.M.ListGaps.Inc()
+		f.core.Metrics.ListGaps.Inc()
 		c.link.Close()
 	default:
 		f.apply(*e, tinbeam.ListDelta)
@@ -156,7 +156,7 @@
 
 // Closed tells that the connection has ended.
 func (c *feedConn) Closed(*link.Conn) {
-	c.feed.core.PostEnd(func() {
+	c.feed.core.PostNonBlocking(func() {
 		c.over = true
 		if c.feed.conn == c {
 			c.feed.conn = nil
--- a/internal/plugin/plugin.go
+++ b/internal/plugin/plugin.go
@@ -140,12 +140,12 @@
 
 // Refuse asks whether a call is refused.
 func (p *Plugin) Refuse(k *agent.Call) bool {
-	r, ok := p.call("refuse", api.EncodeI32(int32(k.Class)), k.Key, api.EncodeI32(int32(k.Dest)),
-		api.EncodeI32(int32(min(k.Left.Milliseconds(), 1<<30))), uint64(k.Opts))
+	r, ok := p.call("refuse", api.EncodeI32(int32(k.Class)), k.NumberKey, api.EncodeI32(int32(k.Dest)),
+		api.EncodeI32(int32(min(k.TimeLeft.Milliseconds(), 1<<30))), uint64(k.Flags))
 	return ok && uint32(r) != 0
 }
 
 // Event shows an event.
 func (p *Plugin) Event(name string, k *agent.Call) {
-	p.call("event", kinds[name], api.EncodeI32(int32(k.Class)), k.Key, api.EncodeI32(int32(k.Dest)))
+	p.call("event", kinds[name], api.EncodeI32(int32(k.Class)), k.NumberKey, api.EncodeI32(int32(k.Dest)))
 }
--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -26,12 +26,12 @@
 }
 
 var (
-	refuses71   = []byte{0x20, 1, 0x42, 0xf1, 0, 0x51, 0x0b}           // number == 0x71
-	neverEnds   = []byte{0x03, 0x40, 0x0c, 0, 0x0b, 0x41, 0, 0x0b}     // a loop
-	traps       = []byte{0x00, 0x0b}                                   // unreachable
-	lateClockOK = 10 * time.Second                                     // a budget that no test machine exceeds
-	call71      = &agent.Call{ID: "a", Key: 0x71, Left: time.Second}   // refused
-	call72      = &agent.Call{ID: "b", Key: 0x72, Left: 2 * time.Hour} // not refused
+	refuses71   = []byte{0x20, 1, 0x42, 0xf1, 0, 0x51, 0x0b}                     // number == 0x71
+	neverEnds   = []byte{0x03, 0x40, 0x0c, 0, 0x0b, 0x41, 0, 0x0b}               // a loop
+	traps       = []byte{0x00, 0x0b}                                             // unreachable
+	lateClockOK = 10 * time.Second                                               // a budget that no test machine exceeds
+	call71      = &agent.Call{ID: "a", NumberKey: 0x71, TimeLeft: time.Second}   // refused
+	call72      = &agent.Call{ID: "b", NumberKey: 0x72, TimeLeft: 2 * time.Hour} // not refused
 )
 
 func start(t *testing.T, budget time.Duration, clock *time.Duration, raw []byte) (*Plugin, *metrics.Set) {
@@ -99,7 +99,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Refuse(&agent.Call{Opts: 8}) || !p.Refuse(&agent.Call{Opts: 2 | 16}) || m.PluginFailures.Value() != 0 {
+	if p.Refuse(&agent.Call{Flags: 8}) || !p.Refuse(&agent.Call{Flags: 2 | 16}) || m.PluginFailures.Value() != 0 {
 		t.Error("it refuses redials and nothing else")
 	}
 	p.Event("answered", call72) // which it does not export
