--- a/controller.go
+++ b/controller.go
@@ -1,7 +1,11 @@
-// The types of settings, events, actions and outcomes are in interface.go; every decision is in this file.
+// Every decision on calls is in this file; the types of settings, events, actions and outcomes are in
+// interface.go.
 //
-// The ordinary path is Turner and Key's banked counter (gap) and direct-first routing with a remembered
-// tandem (admit, tandem). Everything else guards the binding rules or answers a kind of failure.
+// Normal operation uses two mechanisms: call gapping with Turner and Key's banked counter (type gap), and
+// direct-first routing with a remembered tandem (admit, chooseTandem). Everything else handles a kind of
+// failure or enforces a binding rule: each call gets one final answer within the caller's time, has one
+// attempt at a time and is not sent again before the release delay is over; an exchange that drains or has
+// left gets no set-ups, and one that has just started gets fewer than would overload it.
 
 package tinbeam
 
@@ -14,1024 +18,1110 @@
 	"time"
 )
 
-// Figures of the paper, the design page, and ours.
+// Parameters of the gap and of the timers. The single letters are the names in Turner and Key's paper; T is
+// the interval of a gap, which changes at most once per adjust interval.
 const (
-	gain       = 1                      // m: what a counter gains each interval
-	bankMost   = 40                     // N: what it may bank
-	localMost  = 4                      // set-ups granted in one interval at most (the paper's local counter)
-	defaultGap = 500 * time.Millisecond // T where no rate has been seen, and the pace of its changes: beat
-	grow       = 1.12                   // T's growth each pace of pressure; a fifth fewer set-ups
-	shrink     = 0.75                   // T's shrinking each pace without
-	look       = 20 * time.Millisecond  // how often held calls and waits are looked at
-	memory     = 10 * time.Second       // time constant of observed rates: a call's length, see span
+	gainPerInterval   = 1                      // m: grants added to the counter in each interval
+	maxBank           = 40                     // N: most grants that the counter can bank
+	maxLocal          = 4                      // most grants in one interval (the paper's local counter)
+	maxAdjustInterval = 500 * time.Millisecond // upper bound of Controller.adjustInterval
+	growFactor        = 1.12                   // change of T under overload: a tenth fewer set-ups
+	shrinkFactor      = 0.75                   // change of T without overload
+	tickInterval      = 20 * time.Millisecond  // how often held calls and timeouts are examined
+	maxAveragingTime  = 10 * time.Second       // upper bound of averagingTime; default holding time
 )
 
-// gap is the banked counter of one stream. A closed gap grants everything.
+// gap limits one stream of set-ups (call gapping) with a banked counter. An inactive gap grants everything.
 type gap struct {
-	open        bool
-	every       time.Duration // T
-	base        time.Duration // T when it opened: the spacing of set-ups before
-	floor       time.Duration // T may not fall below this while a processor warms up; 0: it is warm
-	next        time.Duration // start of the next interval
-	bank, local int
-	judged      time.Duration // when T last changed
-	pressed     time.Duration // the last sign of pressure
+	active         bool
+	interval       time.Duration // T in the paper
+	intervalBefore time.Duration // time between set-ups before the gap became active
+	minInterval    time.Duration // lower bound of interval while a processor warms up; 0: it is warm
+	nextStart      time.Duration // start of the next interval
+	bank, local    int           // grants banked; grants spent in this interval
+	adjustedAt     time.Duration // last change of interval
+	overloadedAt   time.Duration // last sign of overload
 }
 
-// roll brings the counter up to now.
-func (g *gap) roll(now time.Duration) {
-	if !g.open || now < g.next {
+// advance brings the counter up to now.
+func (g *gap) advance(now time.Duration) {
+	if !g.active || now < g.nextStart {
 		return
 	}
-	n, most := int64((now-g.next)/g.every)+1, bankMost
-	if g.floor > 0 {
-		// Danger: a counter banked in a quiet spell spends a cold processor's whole budget at once.
-		most = gain
+	intervals, limit := int64((now-g.nextStart)/g.interval)+1, maxBank
+	if g.minInterval > 0 {
+		// Grants banked while few calls came would spend a cold processor's whole budget at once.
+		limit = gainPerInterval
 	}
-	g.bank, g.local = min(g.bank+int(min(n*gain, bankMost)), most), 0
-	g.next += time.Duration(n) * g.every
+	g.bank, g.local = min(g.bank+int(min(intervals*gainPerInterval, maxBank)), limit), 0
+	g.nextStart += time.Duration(intervals) * g.interval
 }
 
 func (g *gap) allows(now time.Duration) bool {
-	g.roll(now)
-	return !g.open || g.bank > 0 && g.local < localMost
+	g.advance(now)
+	return !g.active || g.bank > 0 && g.local < maxLocal
 }
 
 func (g *gap) spend() {
-	if g.open {
+	if g.active {
 		g.bank--
 		g.local++
 	}
 }
 
-// set opens the gap, or gives an open one another T. A gap opens with one gain in its counter and at a
-// random phase, so that controllers that see the same trouble do not send in step.
-func (g *gap) set(now, every time.Duration, rng *rand.Rand) {
-	every = max(every, g.floor, time.Millisecond)
-	if !g.open {
-		g.open, g.bank, g.local = true, gain, 0
-		g.next = now + time.Duration(rng.Float64()*float64(every))
-	} else if every < g.every {
-		g.next = now + time.Duration(float64(g.next-now)*float64(every)/float64(g.every))
-	}
-	g.every, g.judged = every, now
+// setInterval activates the gap, or changes the interval of an active one. A gap starts with one interval's
+// gain in its counter and at a random phase, so that controllers that see the same overload do not send at
+// the same moments.
+func (g *gap) setInterval(now, interval time.Duration, rng *rand.Rand) {
+	interval = max(interval, g.minInterval, time.Millisecond)
+	if !g.active {
+		g.active, g.bank, g.local = true, gainPerInterval, 0
+		g.nextStart = now + time.Duration(rng.Float64()*float64(interval))
+	} else if interval < g.interval {
+		g.nextStart = now + time.Duration(float64(g.nextStart-now)*float64(interval)/float64(g.interval))
+	}
+	g.interval, g.adjustedAt = interval, now
 }
 
-// pace is how often T may change: a thin stream gives no news in less than its own interval.
-func (g *gap) pace(beat time.Duration) time.Duration {
-	if !g.open {
-		return beat
+// minAdjustInterval is the least time between two changes of the interval: a stream of few calls gives no
+// new information in less than its own interval.
+func (g *gap) minAdjustInterval(adjustInterval time.Duration) time.Duration {
+	if !g.active {
+		return adjustInterval
 	}
-	return max(beat, g.every)
+	return max(adjustInterval, g.interval)
 }
 
-// rate observes how often something happens, over about a span.
+// rate measures how often something happens, averaged with exponential decay.
 type rate struct {
-	sum     float64
-	at, was time.Duration // last update, first observation; 0: none
+	sum                float64
+	updatedAt, firstAt time.Duration // last update, first observation; 0: none
 }
 
-func (r *rate) add(now, span time.Duration, x float64) {
-	if r.was == 0 {
-		r.was = now
+func (r *rate) add(now, averagingTime time.Duration, amount float64) {
+	if r.firstAt == 0 {
+		r.firstAt = now
 	}
-	r.sum, r.at = r.sum*math.Exp(-float64(now-r.at)/float64(span))+x, now
+	r.sum, r.updatedAt = r.sum*math.Exp(-float64(now-r.updatedAt)/float64(averagingTime))+amount, now
 }
 
-// perS is the rate, corrected for a short history.
-func (r *rate) perS(now, span time.Duration) float64 {
-	seen := span.Seconds() * (1 - math.Exp(-float64(now-r.was+span/10)/float64(span)))
-	return r.sum * math.Exp(-float64(now-r.at)/float64(span)) / seen
+// perSecond is the rate, corrected for a history that is shorter than the averaging time.
+func (r *rate) perSecond(now, averagingTime time.Duration) float64 {
+	observedSeconds := averagingTime.Seconds() *
+		(1 - math.Exp(-float64(now-r.firstAt+averagingTime/10)/float64(averagingTime)))
+	return r.sum * math.Exp(-float64(now-r.updatedAt)/float64(averagingTime)) / observedSeconds
 }
 
-// exchange is what is known of one far exchange, or pool; also of the own one.
-type exchange struct {
-	name            string // in notes
-	place           int
-	zone            *exchange // what is known of its district as a whole; the own one never falls silent
-	id              uint32
-	ready, leaf     bool          // leaf: the end of a way, no tandem
-	since           time.Duration // clock time of its last start; 0: long ago
-	free, size      float64       // circuits of the own group to it, none: size 0; not told: size -1
-	gap             gap
-	sent            rate                  // set-ups sent to its processor
-	wait            float64               // smoothed time to an answer of direct set-ups, seconds
-	least           float64               // of that, what is work: the smallest seen, below what is pressure
-	heard, answered time.Duration         // its last answer of any kind; last renewal of wait
-	bad             int                   // set-ups that failed there since it last answered
-	silent          bool                  // set-ups go unanswered
-	out             []*call               // attempts out towards it, oldest first
-	told            time.Duration         // time of the last report of its processor
-	reduce, lag     float64               // reported: share to hold back, wait in seconds
-	via             int                   // remembered tandem for this destination; -1: none
-	viaUntil        time.Duration         // and how long it is remembered
-	blocked         map[int]time.Duration // tandems that turned calls for it back: not again before then
-	reached         map[int]bool          // tandems known to have a group to it: advised, or a call stood
-	probeAt         time.Duration
-	probing, used   bool // a probe is out; a set-up went there since the last one
-	claimed         int  // the pass in which a wide call waited for its free circuits
+// node is what is known of one far exchange or pool, of the local exchange, or of a whole zone.
+type node struct {
+	name                    string        // in notes to the operators
+	number                  int           // exchange number; -1: a zone
+	zone                    *node         // its zone; the local zone never counts as unresponsive
+	switchID                uint32        // the machine that serves this exchange number
+	ready, noTransit        bool          // noTransit: cannot be a tandem
+	onlineSince             time.Duration // clock time of its last start; 0: long ago
+	freeCircuits, groupSize float64       // of the direct group; groupSize 0: no group, -1: not reported
+	gap                     gap
+	setUpRate               rate          // set-ups sent to its processor
+	answerSeconds           float64       // smoothed time from a direct set-up to its answer
+	workSeconds             float64       // part of answerSeconds that is work: the least value seen
+	answeredAt, measuredAt  time.Duration // last answer of any kind; last update of answerSeconds
+	failures                int           // failed set-ups since its last answer
+	unresponsive            bool          // set-ups get no answer: only trial calls are sent
+	pending                 []*call       // calls with an attempt pending there, oldest first
+	reportedAt              time.Duration // last load report of its processor
+	// From the report: the share of the set-ups to hold back, and the wait at its processor.
+	reportedReduction, reportedWaitSeconds float64
+	lastTandem                             int           // tandem last used for this destination; -1: none
+	lastTandemUntil                        time.Duration // when lastTandem is forgotten
+	// Tandems that returned a call for this destination (crankback), and until when they are not used for it.
+	avoidTandemUntil map[int]time.Duration
+	// Tandems that have a group to this destination: they were advised, or a call was established over them.
+	reachableVia map[int]bool
+	nextProbeAt  time.Duration
+	// usedSinceProbe: a set-up was sent there since the last load probe.
+	probePending, usedSinceProbe bool
+	claimedInPass                int // the pass of serveHeld in which a wide call claimed the free circuits
 }
 
-// sample is the time that a set-up took, answered in any way or timed out.
+// sample is the time from a set-up to its end: an answer of any kind, a refusal or a timeout.
 type sample struct {
-	x    *exchange
-	at   time.Duration
-	took float64
+	exchange *node
+	at       time.Duration
+	seconds  float64
 }
 
-// call is one call that the controller owes a final answer, or that stands.
+// call is one call that is established or pending (waiting for its final answer).
 type call struct {
 	Offer
-	at, deadline                    time.Duration
-	until                           time.Duration // held no longer than this
-	notBefore                       time.Duration // release wait
-	tries, most                     int           // attempts so far, and allowed
-	out, stands, direct, mayHaveRun bool
-	erred                           bool      // an exchange answered with an error, other than all lines busy
-	to                              *exchange // where the attempt that is out went
-	sentAt                          time.Duration
-	tried                           map[int]bool // tandems tried
-	rank                            float64
+	offeredAt, deadline time.Duration
+	holdUntil           time.Duration // latest time to hold the call back
+	notBefore           time.Duration // end of the release delay
+	// The attempts sent so far, and how many are allowed.
+	attempts, allowed int
+	// mayHaveTakenEffect: an attempt failed in a way that leaves open whether the far end acted on it.
+	attemptPending, established, direct, mayHaveTakenEffect bool
+
+	erred        bool          // an exchange answered with an error other than busy
+	nextHop      *node         // where the pending attempt went
+	sentAt       time.Duration // when the last attempt was sent
+	triedTandems map[int]bool
+	priority     float64 // see serveHeld
 }
 
-// number is what is known of a number found busy, or not served.
-type number struct {
-	gap    gap
-	busy   int
-	last   time.Duration // found busy
-	redial time.Duration // until then a call to it is a redial
+// numberState is what is known of a called number that was busy, or to which a call failed.
+type numberState struct {
+	gap         gap
+	busyCount   int           // times found busy since a call to it was established
+	busyAt      time.Duration // last found busy
+	redialUntil time.Duration // a call to it before this time counts as a redial
 }
 
-// Controller decides for one exchange.
+// Controller takes the decisions for one exchange.
 type Controller struct {
-	set             Settings
-	rng             *rand.Rand
-	now             time.Duration
-	places          []*exchange // by number; nil: never listed
-	ids             map[uint32]int
-	own             *exchange // the own exchange's processor
-	zones           map[int]*exchange
-	calls           map[uint32]*call
-	held            []*call
-	numbers         map[uint64]*number
-	stood           rate
-	best            float64   // the most direct calls a second that have stood
-	offered, served []float64 // first tries by class
-	ticking         bool
-	pass            int           // through the held calls
-	ended           []sample      // the last set-ups that ended, whichever way they went
-	ownWait         float64       // what of the time to an answer is wait at the own processor, seconds
-	round           [3]float64    // the share of set-ups over tandems that stood lately, by kind: see wayTo
-	target          float64       // the wait that is pressure, seconds
-	others          float64       // how long news of a tandem count, in paces or spans
-	beat, span      time.Duration // T and the time constant of rates: see New
-	acts            []Action
+	settings       Settings
+	rng            *rand.Rand
+	now            time.Duration
+	exchanges      []*node        // by exchange number; nil: never listed
+	numberBySwitch map[uint32]int // exchange numbers by switch
+	local          *node          // the local exchange's processor
+	zones          map[int]*node
+	calls          map[uint32]*call
+	held           []*call
+	numbers        map[uint64]*numberState
+
+	establishedRate    rate    // direct calls established
+	maxEstablishedRate float64 // the highest value of establishedRate, per second
+	// Decaying counts of calls that are neither in transit nor redials: all, and those established in time.
+	offeredByClass, servedByClass []float64
+	tickScheduled                 bool
+	pass                          int        // number of the pass of serveHeld
+	recentSetUps                  []sample   // the last set-ups that ended
+	localWaitSeconds              float64    // estimated wait at the local processor during a set-up
+	tandemSuccess                 [3]float64 // smoothed share of successful set-ups, by tandemKind
+	maxWait                       float64    // seconds: a longer wait at one processor means overload
+	// How long the results of tandems count, as a multiple of adjustInterval or averagingTime.
+	tandemMemory float64
+	// The time between changes of a gap's interval, and the time constant of rates; see applySettings.
+	adjustInterval, averagingTime time.Duration
+	actions                       []Action
 }
 
-// New starts a controller without any knowledge. Absent or senseless settings: no classes is one without
-// an aim (sent at once or refused); absent waits are zero, no cold time is no warm-up; WarmUpStart outside
-// (0, 1] is a tenth; MaxAttempts below 1 is 1; a class not called free is not repeated once it may have run.
+// New returns a controller that knows no exchange yet. Settings that are absent or out of range are replaced:
+// without classes there is one, without an answer target (its calls are sent at once or refused); absent
+// delays are zero, and without a warm-up time there is no warm-up; WarmUpStart outside (0, 1] becomes a
+// tenth; MaxAttempts below 1 becomes 1. A call is repeated after an attempt that may have taken effect only
+// if the repeat policy of its class is "free".
 func New(s Settings, seed uint64) *Controller {
 	if len(s.Classes) == 0 {
 		s.Classes = []Class{{}}
 	}
-	c := &Controller{rng: rand.New(rand.NewPCG(seed, 0x5707e)), ids: map[uint32]int{},
-		own: &exchange{name: "own exchange", place: s.LocalExchange, via: -1, free: math.Inf(1),
-			reached: map[int]bool{}, blocked: map[int]time.Duration{}},
-		zones: map[int]*exchange{}, calls: map[uint32]*call{}, numbers: map[uint64]*number{},
-		round: [3]float64{1, 1, 1}, pass: 1}
-	c.apply(s)
-	c.own.least = c.target
+	c := &Controller{rng: rand.New(rand.NewPCG(seed, 0x5707e)), numberBySwitch: map[uint32]int{},
+		local: &node{name: "own exchange", number: s.LocalExchange, lastTandem: -1,
+			freeCircuits: math.Inf(1), reachableVia: map[int]bool{},
+			avoidTandemUntil: map[int]time.Duration{}},
+		zones: map[int]*node{}, calls: map[uint32]*call{}, numbers: map[uint64]*numberState{},
+		tandemSuccess: [3]float64{1, 1, 1}, pass: 1}
+	c.applySettings(s)
+	c.local.workSeconds = c.maxWait
 	return c
 }
 
-// apply takes settings, at the start and later. What has been learnt of exchanges and numbers stays.
-func (c *Controller) apply(s Settings) {
+// applySettings takes settings, at the start and when they change. What was learnt of exchanges and numbers
+// is kept.
+func (c *Controller) applySettings(s Settings) {
 	s.Classes = slices.Clone(s.Classes)
 	s.MaxAttempts, s.Replicas = max(s.MaxAttempts, 1), max(s.Replicas, 2)
 	if !(s.Rules.WarmUpStart > 0 && s.Rules.WarmUpStart <= 1) {
 		s.Rules.WarmUpStart = 0.1
 	}
-	aim, span, was := math.Inf(1), time.Duration(0), c.set.Classes // the tightest aim, the longest hold
+	// The tightest answer target in seconds, and the longest holding time.
+	answerTarget, averagingTime, oldClasses := math.Inf(1), time.Duration(0), c.settings.Classes
 	for i := range s.Classes {
-		k := &s.Classes[i]
-		k.Width, k.Value = positive(k.Width, 1), positive(k.Value, 1)
-		k.MeanHold = time.Duration(positive(float64(k.MeanHold), float64(memory)))
-		if k.AnswerTarget > 0 && !k.Retired {
-			aim = min(aim, k.AnswerTarget.Seconds())
+		class := &s.Classes[i]
+		class.Width, class.Value = positiveOr(class.Width, 1), positiveOr(class.Value, 1)
+		class.MeanHold = time.Duration(positiveOr(float64(class.MeanHold), float64(maxAveragingTime)))
+		if class.AnswerTarget > 0 && !class.Retired {
+			answerTarget = min(answerTarget, class.AnswerTarget.Seconds())
 		}
-		if !k.Retired {
-			span = max(span, min(k.MeanHold, memory))
+		if !class.Retired {
+			averagingTime = max(averagingTime, min(class.MeanHold, maxAveragingTime))
 		}
-		if i >= len(was) {
-			c.offered, c.served = append(c.offered, 1), append(c.served, 1)
-		} else if was[i].Name != k.Name { // its place is another's now
-			c.offered[i], c.served[i] = 1, 1
+		if i >= len(oldClasses) {
+			c.offeredByClass, c.servedByClass = append(c.offeredByClass, 1), append(c.servedByClass, 1)
+		} else if oldClasses[i].Name != class.Name { // another class has this index now
+			c.offeredByClass[i], c.servedByClass[i] = 1, 1
 		}
 	}
-	c.set = s
-	if math.IsInf(aim, 1) {
-		aim = 1
+	c.settings = s
+	if math.IsInf(answerTarget, 1) {
+		answerTarget = 1
 	}
-	// A set-up waits at two processors and is answered through both, so each may take a third of the
-	// tightest aim; and none may wait long enough for the set-up to be sent again.
-	c.target = aim / 2
+	// A set-up waits at two processors and its answer passes both again, so the wait at one of them is
+	// limited to half of the tightest answer target; and to half of the resend interval, so that a set-up
+	// that waits is not sent again.
+	c.maxWait = answerTarget / 2
 	if s.ResendInterval > 0 {
-		c.target = min(c.target, s.ResendInterval.Seconds()/2)
-	}
-	c.others = min(max(2*float64(s.Replicas-2), 1), 8)
-	// Danger: where aims are a fraction of a second and calls last about one, a T that changes each half
-	// second opens when the jam has passed and lifts long after it. T follows the aim and the rates the
-	// calls' length, up to the figures above.
-	c.beat, c.span = min(defaultGap, time.Duration(aim*float64(time.Second)/2.4)), span
-	for _, k := range c.calls {
-		k.most = min(k.most, s.MaxAttempts) // an open call's are never more than either told
+		c.maxWait = min(c.maxWait, s.ResendInterval.Seconds()/2)
+	}
+	c.tandemMemory = min(max(2*float64(s.Replicas-2), 1), 8)
+	// Where answer targets are a fraction of a second and calls last about one second, a T that changes each
+	// half second would start gapping when the overload has passed and keep on long after it. So the interval
+	// between changes of T follows the answer target, and the averaging time of rates follows the holding
+	// time of calls, up to maxAdjustInterval and maxAveragingTime.
+	c.adjustInterval, c.averagingTime =
+		min(maxAdjustInterval, time.Duration(answerTarget*float64(time.Second)/2.4)), averagingTime
+	for _, call := range c.calls {
+		call.allowed = min(call.allowed, s.MaxAttempts) // open calls keep the smaller of both limits
 	}
 }
 
-// positive is v, or d where v makes no sense.
-func positive(v, d float64) float64 {
-	if v > 0 && !math.IsInf(v, 1) {
-		return v
+// positiveOr returns the value, or the fallback for a value that is not positive and finite.
+func positiveOr(value, fallback float64) float64 {
+	if value > 0 && !math.IsInf(value, 1) {
+		return value
 	}
-	return d
+	return fallback
 }
 
-// Handle takes one event and appends what is to be done.
-func (c *Controller) Handle(now time.Duration, ev Event, out []Action) []Action {
-	c.now, c.acts = now, out
-	switch e := ev.(type) {
+// Handle takes one event and appends the actions that follow from it.
+func (c *Controller) Handle(now time.Duration, event Event, out []Action) []Action {
+	c.now, c.actions = now, out
+	switch e := event.(type) {
 	case Topology:
-		c.topology(e)
+		c.handleTopology(e)
 	case Offer:
-		c.offer(e)
+		c.handleOffer(e)
 	case Flowing:
-		c.flowing(e)
+		c.handleFlowing(e)
 	case Outcome:
-		c.outcome(e)
+		c.handleOutcome(e)
 	case Retune:
-		c.apply(e.Settings)
+		c.applySettings(e.Settings)
 	case Sampled:
-		if x := c.byID(e.Switch); x != nil {
+		if exchange := c.exchangeBySwitch(e.Switch); exchange != nil {
 			if e.Took > 0 || e.Code != OK {
-				x.probing = false
+				exchange.probePending = false
 			}
 			if e.Code == OK {
-				c.report(x, e.Report)
+				c.handleReport(exchange, e.Report)
 			}
 		}
 	case Withdrawn:
-		c.drop(c.calls[e.Ref])
+		c.forget(c.calls[e.Ref])
 	case TickDue:
 		if e.Handle == 2 {
-			c.act(StreamChanges{Active: true})
+			c.addAction(StreamChanges{Active: true})
 		} else {
 			c.tick()
 		}
 	}
-	c.pump()
-	if !c.ticking {
-		c.ticking = true
-		c.act(Schedule{After: look, Handle: 1})
+	c.serveHeld()
+	if !c.tickScheduled {
+		c.tickScheduled = true
+		c.addAction(Schedule{After: tickInterval, Handle: 1})
 	}
-	out, c.acts = c.acts, nil
+	out, c.actions = c.actions, nil
 	return out
 }
 
-func (c *Controller) act(a Action) { c.acts = append(c.acts, a) }
+func (c *Controller) addAction(action Action) { c.actions = append(c.actions, action) }
 
+// note leaves a line for the operators.
 func (c *Controller) note(format string, args ...any) {
-	c.act(Note{Text: fmt.Sprintf(format, args...)})
+	c.addAction(Note{Text: fmt.Sprintf(format, args...)})
 }
 
-// at is the exchange of a place, or nil.
-func (c *Controller) at(place int) *exchange {
-	if place < 0 || place >= len(c.places) {
+// exchangeByNumber returns the exchange with this number, or nil.
+func (c *Controller) exchangeByNumber(number int) *node {
+	if number < 0 || number >= len(c.exchanges) {
 		return nil
 	}
-	return c.places[place]
+	return c.exchanges[number]
 }
 
-func (c *Controller) byID(id uint32) *exchange {
-	if p, ok := c.ids[id]; ok && c.places[p].id == id {
-		return c.places[p]
+func (c *Controller) exchangeBySwitch(switchID uint32) *node {
+	if number, ok := c.numberBySwitch[switchID]; ok && c.exchanges[number].switchID == switchID {
+		return c.exchanges[number]
 	}
 	return nil
 }
 
-// topology takes the list. A place follows its latest ready machine; a machine that drains or is gone gets
-// nothing from now on, which keeps the rule on drains with its whole grace to spare.
-func (c *Controller) topology(t Topology) {
-	if asks := c.set.Discovery == "on_request"; asks && t.Kind == ListFailed {
-		c.act(Schedule{After: time.Second + time.Duration(c.rng.Int64N(int64(time.Second))), Handle: 2})
-	} else if asks && t.Kind == ListCached {
-		c.act(StreamChanges{Active: true})
+// handleTopology takes a list of exchanges or changes to it. An exchange number is served by its ready
+// machine that started last. A machine that drains or has left gets no set-ups from now on: the grace time
+// that the rule on drains allows is not used.
+func (c *Controller) handleTopology(t Topology) {
+	if onRequest := c.settings.Discovery == "on_request"; onRequest && t.Kind == ListFailed {
+		c.addAction(Schedule{After: time.Second + time.Duration(c.rng.Int64N(int64(time.Second))), Handle: 2})
+	} else if onRequest && t.Kind == ListCached {
+		c.addAction(StreamChanges{Active: true})
 	}
 	if t.Kind == ListFailed {
 		return
 	}
 	listed := map[uint32]bool{}
-	for _, n := range t.Entries {
-		if n.ExchangeNumber < 0 {
+	for _, entry := range t.Entries {
+		if entry.ExchangeNumber < 0 {
 			continue
 		}
-		c.places = append(c.places, make([]*exchange, max(n.ExchangeNumber+1-len(c.places), 0))...)
-		x := c.places[n.ExchangeNumber]
-		if x == nil {
-			x = &exchange{name: fmt.Sprint("exchange ", n.ExchangeNumber), place: n.ExchangeNumber,
-				size: -1, via: -1, least: c.target, blocked: map[int]time.Duration{}, reached: map[int]bool{}}
-			if n.ExchangeNumber == c.set.LocalExchange {
-				x = c.own
+		c.exchanges = append(c.exchanges,
+			make([]*node, max(entry.ExchangeNumber+1-len(c.exchanges), 0))...)
+		exchange := c.exchanges[entry.ExchangeNumber]
+		if exchange == nil {
+			exchange = &node{name: fmt.Sprint("exchange ", entry.ExchangeNumber),
+				number: entry.ExchangeNumber, groupSize: -1, lastTandem: -1, workSeconds: c.maxWait,
+				avoidTandemUntil: map[int]time.Duration{}, reachableVia: map[int]bool{}}
+			if entry.ExchangeNumber == c.settings.LocalExchange {
+				exchange = c.local
 			}
-			if c.zones[n.Zone] == nil {
-				c.zones[n.Zone] = &exchange{name: fmt.Sprint("district ", n.Zone), place: -1}
+			if c.zones[entry.Zone] == nil {
+				c.zones[entry.Zone] = &node{name: fmt.Sprint("district ", entry.Zone), number: -1}
 			}
-			c.places[n.ExchangeNumber], x.zone = x, c.zones[n.Zone]
+			c.exchanges[entry.ExchangeNumber], exchange.zone = exchange, c.zones[entry.Zone]
 		}
-		c.ids[n.Switch] = n.ExchangeNumber
-		listed[n.Switch] = true
+		c.numberBySwitch[entry.Switch] = entry.ExchangeNumber
+		listed[entry.Switch] = true
 		switch {
-		case n.Mode != Ready:
-			if x.id == n.Switch {
-				x.ready = false
+		case entry.Mode != Ready:
+			if exchange.switchID == entry.Switch {
+				exchange.ready = false
 			}
-		case x.id == n.Switch && x.ready && n.OnlineSince == x.since:
-		case x.id != n.Switch && x.ready && n.OnlineSince < x.since:
+		case exchange.switchID == entry.Switch && exchange.ready && entry.OnlineSince == exchange.onlineSince:
+		case exchange.switchID != entry.Switch && exchange.ready && entry.OnlineSince < exchange.onlineSince:
 		default:
-			if x.id != n.Switch { // another machine: it inherits nothing of what was learnt of the last
-				delete(c.ids, x.id)
-				x.id, x.out, x.gap, x.bad, x.wait, x.answered = n.Switch, nil, gap{}, 0, 0, 0
+			if exchange.switchID != entry.Switch { // nothing learnt of the last machine holds for another one
+				delete(c.numberBySwitch, exchange.switchID)
+				exchange.switchID, exchange.pending, exchange.gap, exchange.failures, exchange.answerSeconds,
+					exchange.measuredAt = entry.Switch, nil, gap{}, 0, 0, 0
 			}
-			was := x.since
-			x.ready, x.since, x.silent, x.least, x.leaf = true, n.OnlineSince, false, c.target, n.NoTransit
-			if x.since != was && x.since > 0 && c.now-x.since < c.set.Rules.WarmUp {
-				c.warm(x)
+			oldStart := exchange.onlineSince
+			exchange.ready, exchange.onlineSince, exchange.unresponsive, exchange.workSeconds,
+				exchange.noTransit = true, entry.OnlineSince, false, c.maxWait, entry.NoTransit
+			if exchange.onlineSince != oldStart && exchange.onlineSince > 0 &&
+				c.now-exchange.onlineSince < c.settings.Rules.WarmUp {
+				c.updateWarmUp(exchange)
 			}
 		}
-		if n.Mode == Gone && x.id != n.Switch {
-			delete(c.ids, n.Switch)
+		if entry.Mode == Gone && exchange.switchID != entry.Switch {
+			delete(c.numberBySwitch, entry.Switch)
 		}
 	}
 	if t.Kind != ListDelta {
-		for _, x := range c.places {
-			if x != nil && !listed[x.id] {
-				x.ready = false
+		for _, exchange := range c.exchanges {
+			if exchange != nil && !listed[exchange.switchID] {
+				exchange.ready = false
 			}
 		}
 	}
 }
 
-// warm paces a processor that has just started. Danger: all controllers together push it over, and it
-// stays down. Its capacity is not told; what an exchange takes warm is at least what stands there now, so
-// this controller's share of it is its own standing rate over the far exchanges (one call a second where less
-// has stood). As many come in as go out: with the root of the breaking multiple of that, times the present
-// part of the capacity, from all others and as much from the own exchange, the sum stays under at any size.
-func (c *Controller) warm(x *exchange) {
-	age := c.now - x.since
-	if age >= c.set.Rules.WarmUp {
-		if x.gap.floor > 0 {
-			x.gap.floor = 0
-			c.note("%s: warm-up ends", x.name)
+// updateWarmUp limits the set-ups to a processor that started a short time ago. Without the limit, all
+// controllers together overload it, and it stays down. Its capacity is not reported, but a warm exchange
+// carries at least the calls that are established there now. A controller takes its own highest rate of
+// established direct calls, at least one a second, as the estimate, since an exchange receives about as many
+// calls as it sends. All other controllers together may send the started exchange that rate times the present
+// share of its capacity times the square root of the overload multiple, so each divides this by their number.
+// The exchange limits its own set-ups to the same sum. So the total stays below the overload for any number
+// of controllers.
+func (c *Controller) updateWarmUp(exchange *node) {
+	age := c.now - exchange.onlineSince
+	if age >= c.settings.Rules.WarmUp {
+		if exchange.gap.minInterval > 0 {
+			exchange.gap.minInterval = 0
+			c.note("%s: warm-up ends", exchange.name)
 		}
 		return
 	}
-	part := c.set.Rules.WarmUpStart +
-		(1-c.set.Rules.WarmUpStart)*max(age.Seconds(), 0)/c.set.Rules.WarmUp.Seconds()
-	share := max(c.best, 1) * math.Sqrt(max(c.set.Rules.OverloadMultiple, 1))
-	if x != c.own {
-		share /= float64(c.set.Replicas - 1)
+	capacityShare := c.settings.Rules.WarmUpStart +
+		(1-c.settings.Rules.WarmUpStart)*max(age.Seconds(), 0)/c.settings.Rules.WarmUp.Seconds()
+	perSecond := max(c.maxEstablishedRate, 1) * math.Sqrt(max(c.settings.Rules.OverloadMultiple, 1))
+	if exchange != c.local {
+		perSecond /= float64(c.settings.Replicas - 1)
 	}
-	began := x.gap.floor == 0
-	x.gap.floor = time.Duration(float64(time.Second) / (share * part))
-	if began || x.gap.every < x.gap.floor || c.now-x.gap.pressed >= c.beat && !x.silent {
-		x.gap.set(c.now, x.gap.floor, c.rng)
+	begins := exchange.gap.minInterval == 0
+	exchange.gap.minInterval = time.Duration(float64(time.Second) / (perSecond * capacityShare))
+	if begins || exchange.gap.interval < exchange.gap.minInterval ||
+		c.now-exchange.gap.overloadedAt >= c.adjustInterval && !exchange.unresponsive {
+		exchange.gap.setInterval(c.now, exchange.gap.minInterval, c.rng)
 	}
-	if began {
-		x.gap.bank = 0
-		c.note("%s: warm-up begins", x.name)
+	if begins {
+		exchange.gap.bank = 0
+		c.note("%s: warm-up begins", exchange.name)
 	}
 }
 
-// offer takes a call.
-func (c *Controller) offer(o Offer) {
-	o.Class = min(max(o.Class, 0), len(c.set.Classes)-1)
-	o.Width = positive(o.Width, c.set.Classes[o.Class].Width)
-	if o.Flags&FlagTransit == 0 && !c.set.MarksRedial && o.Number != 0 {
-		// Callers here do not mark a redial; a number that was just refused and is called again tells one.
-		if n := c.numbers[o.Number]; n != nil && c.now < n.redial {
-			o.Flags |= FlagRedial
+// handleOffer takes a call.
+func (c *Controller) handleOffer(offer Offer) {
+	offer.Class = min(max(offer.Class, 0), len(c.settings.Classes)-1)
+	offer.Width = positiveOr(offer.Width, c.settings.Classes[offer.Class].Width)
+	if offer.Flags&FlagTransit == 0 && !c.settings.MarksRedial && offer.Number != 0 {
+		// These callers do not flag redials. A call to a number to which one has just failed counts as one.
+		if number := c.numbers[offer.Number]; number != nil && c.now < number.redialUntil {
+			offer.Flags |= FlagRedial
 		}
 	}
-	k := &call{Offer: o, at: c.now, deadline: c.now + max(o.TimeLeft, 0), most: c.set.MaxAttempts,
-		tried: map[int]bool{}}
-	c.calls[o.Ref] = k
-	d := c.at(o.Dest)
-	if o.Flags&FlagTransit == 0 && d != nil && c.at(o.Via) != nil {
-		d.reached[o.Via] = true
-	}
-	if o.Flags&(FlagTransit|FlagRedial) == 0 {
-		c.offered[o.Class] = c.offered[o.Class]*0.998 + 1
-		c.served[o.Class] *= 0.998
-	}
-	k.until = min(k.deadline-2*look, c.now+c.set.Classes[o.Class].AnswerTarget)
-	if d != nil {
-		// Held to the end of the aim, it would stand too late for its worth: leave room for the answer.
-		margin := min(d.wait, c.set.Classes[o.Class].AnswerTarget.Seconds()/2)
-		k.until = max(k.until-time.Duration(margin*float64(time.Second)), c.now)
-	}
-	if d == nil || !d.ready || d == c.own && o.Flags&FlagTransit != 0 ||
-		!c.numberOf(o.Number).gap.allows(c.now) {
-		c.finish(k) // refused at source; a number repeatedly busy is not waited for
+	call := &call{Offer: offer, offeredAt: c.now, deadline: c.now + max(offer.TimeLeft, 0),
+		allowed: c.settings.MaxAttempts, triedTandems: map[int]bool{}}
+	c.calls[offer.Ref] = call
+	dest := c.exchangeByNumber(offer.Dest)
+	if offer.Flags&FlagTransit == 0 && dest != nil && c.exchangeByNumber(offer.Via) != nil {
+		dest.reachableVia[offer.Via] = true
+	}
+	if offer.Flags&(FlagTransit|FlagRedial) == 0 {
+		c.offeredByClass[offer.Class] = c.offeredByClass[offer.Class]*0.998 + 1
+		c.servedByClass[offer.Class] *= 0.998
+	}
+	call.holdUntil = min(call.deadline-2*tickInterval, c.now+c.settings.Classes[offer.Class].AnswerTarget)
+	if dest != nil {
+		// A call held to the end of its answer target would be established too late for its full value.
+		margin := min(dest.answerSeconds, c.settings.Classes[offer.Class].AnswerTarget.Seconds()/2)
+		call.holdUntil = max(call.holdUntil-time.Duration(margin*float64(time.Second)), c.now)
+	}
+	if dest == nil || !dest.ready || dest == c.local && offer.Flags&FlagTransit != 0 ||
+		!c.stateOfNumber(offer.Number).gap.allows(c.now) {
+		c.finish(call) // refused at once; a call to a number that is often busy is not held
 		return
 	}
-	if o.Flags&(FlagTransit|FlagRedial) != 0 {
-		// In transit it holds circuits of the group it came over; a redial is past its aim, and its set-up
-		// would take room from calls in time. On at once, or back at once.
-		if d.gap.open && o.Flags&FlagTransit == 0 || !c.admit(k) {
-			c.finish(k)
+	if offer.Flags&(FlagTransit|FlagRedial) != 0 {
+		// These are sent at once or refused at once. A held call in transit would keep circuits of the group
+		// that it came over; a redial is past its answer target, and would take capacity from calls in time.
+		if dest.gap.active && offer.Flags&FlagTransit == 0 || !c.admit(call) {
+			c.finish(call)
 		}
 		return
 	}
-	c.held = append(c.held, k)
+	c.held = append(c.held, call)
 }
 
-// finish gives the final answer of a call that has no attempt out.
-func (c *Controller) finish(k *call) {
-	if c.spent(k) {
-		c.act(GiveUp{Ref: k.Ref})
+// finish gives the final answer to a call that failed or is refused. It has no attempt pending.
+func (c *Controller) finish(call *call) {
+	if c.mustNotRepeat(call) {
+		c.addAction(GiveUp{Ref: call.Ref})
 	} else {
-		// Danger: callers turned away together dial again together. Spread them.
-		c.act(Decline{Ref: k.Ref,
-			RetryAfter: time.Duration((0.5 + c.rng.Float64()/2) * float64(c.set.MaxRetryAfter))})
+		// Callers that are refused at the same time would redial at the same time: their pauses differ.
+		c.addAction(Decline{Ref: call.Ref,
+			RetryAfter: time.Duration((0.5 + c.rng.Float64()/2) * float64(c.settings.MaxRetryAfter))})
 	}
-	c.drop(k)
+	c.forget(call)
 }
 
-// spent tells that the call may have run and must neither be sent again nor refused.
-func (c *Controller) spent(k *call) bool {
-	return k.mayHaveRun && c.class(k).RepeatPolicy != "free"
+// mustNotRepeat reports whether the call may have taken effect and must neither be sent again nor refused.
+func (c *Controller) mustNotRepeat(call *call) bool {
+	return call.mayHaveTakenEffect && c.class(call).RepeatPolicy != "free"
 }
 
-func (c *Controller) class(k *call) *Class { return &c.set.Classes[k.Class] }
+func (c *Controller) class(call *call) *Class { return &c.settings.Classes[call.Class] }
 
-// drop forgets a call.
-func (c *Controller) drop(k *call) {
-	if k == nil {
+// forget drops all that is kept of a call.
+func (c *Controller) forget(call *call) {
+	if call == nil {
 		return
 	}
-	if !k.stands && !c.set.MarksRedial && k.Flags&FlagTransit == 0 {
-		n := c.numberOf(k.Number)
-		c.numbers[k.Number], n.redial = n, k.at+c.class(k).HardLimit
+	if !call.established && !c.settings.MarksRedial && call.Flags&FlagTransit == 0 {
+		number := c.stateOfNumber(call.Number)
+		c.numbers[call.Number], number.redialUntil = number, call.offeredAt+c.class(call).HardLimit
 	}
-	c.returned(k)
-	delete(c.calls, k.Ref)
-	if i := slices.Index(c.held, k); i >= 0 {
+	c.clearAttempt(call)
+	delete(c.calls, call.Ref)
+	if i := slices.Index(c.held, call); i >= 0 {
 		c.held = slices.Delete(c.held, i, i+1)
 	}
 }
 
-// returned takes an attempt off its exchange.
-func (c *Controller) returned(k *call) {
-	if k.to != nil {
-		if i := slices.Index(k.to.out, k); i >= 0 {
-			k.to.out = slices.Delete(k.to.out, i, i+1)
+// clearAttempt removes the call's attempt from the pending ones of its next hop.
+func (c *Controller) clearAttempt(call *call) {
+	if call.nextHop != nil {
+		if i := slices.Index(call.nextHop.pending, call); i >= 0 {
+			call.nextHop.pending = slices.Delete(call.nextHop.pending, i, i+1)
 		}
-		k.to = nil
+		call.nextHop = nil
 	}
 }
 
-// pump serves held calls, the worthiest first.
-func (c *Controller) pump() {
-	worst, all, total := -1, 0.0, 0.0
-	for i := range c.offered {
-		if c.set.Classes[i].Retired {
+// serveHeld sends held calls in the order of their priority and ends those that cannot succeed any more. The
+// priority is the value of a call for the service score, which is higher for the class that is served worst.
+// Where circuits of the direct group are scarce, it is the value per circuit and second of holding time.
+func (c *Controller) serveHeld() {
+	worstClass, offered, offeredValue := -1, 0.0, 0.0
+	for i := range c.offeredByClass {
+		if c.settings.Classes[i].Retired {
 			continue
 		}
-		all += c.offered[i]
-		total += c.offered[i] * c.set.Classes[i].Value
-		if worst < 0 || c.served[i]*c.offered[worst] < c.served[worst]*c.offered[i] {
-			worst = i
+		offered += c.offeredByClass[i]
+		offeredValue += c.offeredByClass[i] * c.settings.Classes[i].Value
+		if worstClass < 0 || c.servedByClass[i]*c.offeredByClass[worstClass] <
+			c.servedByClass[worstClass]*c.offeredByClass[i] {
+			worstClass = i
 		}
 	}
 	c.pass++
-	wc := min(max(c.set.ScoreWeights.WorstClass, 0), 1)
-	for _, k := range c.held {
-		cl := c.class(k)
-		worth := (1 - wc) * cl.Value * all / total
-		if k.Class == worst {
-			worth += wc * all / c.offered[worst]
+	worstClassWeight := min(max(c.settings.ScoreWeights.WorstClass, 0), 1)
+	for _, call := range c.held {
+		class := c.class(call)
+		value := (1 - worstClassWeight) * class.Value * offered / offeredValue
+		if call.Class == worstClass {
+			value += worstClassWeight * offered / c.offeredByClass[worstClass]
 		}
-		k.rank = worth / c.span.Seconds()
-		if d := c.at(k.Dest); d.free < c.reserve(d)+k.Width {
-			k.rank = worth / (k.Width * cl.MeanHold.Seconds())
+		call.priority = value / c.averagingTime.Seconds()
+		if dest := c.exchangeByNumber(call.Dest); dest.freeCircuits < c.reserved(dest)+call.Width {
+			call.priority = value / (call.Width * class.MeanHold.Seconds())
 		}
 	}
-	slices.SortStableFunc(c.held, func(a, b *call) int { return cmp.Compare(b.rank, a.rank) })
+	slices.SortStableFunc(c.held, func(a, b *call) int { return cmp.Compare(b.priority, a.priority) })
 	c.held = slices.DeleteFunc(c.held, c.admit)
-	for _, k := range slices.Clone(c.held) {
-		if c.over(k) {
-			c.finish(k)
+	for _, call := range slices.Clone(c.held) {
+		if c.hopeless(call) {
+			c.finish(call)
 		}
 	}
 }
 
-// over tells that no circuit or grant can come for a held call in time: its caller is told to come back.
-func (c *Controller) over(k *call) bool {
-	d := c.at(k.Dest)
-	return c.now >= k.until || !d.ready || c.spent(k) || !d.zone.gap.allows(c.now) || d.size == 0 &&
-		max(c.rounds(k, 0), c.rounds(k, 1), c.rounds(k, 2)) <= 0
+// hopeless reports whether no circuit and no grant of a gap can come in time for a held call. Its caller is
+// refused and may call again.
+func (c *Controller) hopeless(call *call) bool {
+	dest := c.exchangeByNumber(call.Dest)
+	return c.now >= call.holdUntil || !dest.ready || c.mustNotRepeat(call) || !dest.zone.gap.allows(c.now) ||
+		dest.groupSize == 0 && max(c.tandemAttemptsLeft(call, 0), c.tandemAttemptsLeft(call, 1),
+			c.tandemAttemptsLeft(call, 2)) <= 0
 }
 
-// rounds is how many tries a call has left over tandems of a kind. Danger: where these mostly turn back, each
-// takes three processors from calls that go direct. By the square of the share: where a third stands, one.
-func (c *Controller) rounds(k *call, kind int) float64 {
-	return c.round[kind]*c.round[kind]*float64(k.most) - 0.5 - float64(len(k.tried))
+// tandemAttemptsLeft is how many attempts over tandems of a kind a call has left. Where most of these tandems
+// return the call, each attempt takes the work of three processors from calls that go direct. So the number
+// falls with the square of the share that succeeds: where two in five succeed, one attempt of four is left.
+func (c *Controller) tandemAttemptsLeft(call *call, kind int) float64 {
+	return c.tandemSuccess[kind]*c.tandemSuccess[kind]*float64(call.allowed) - 0.5 -
+		float64(len(call.triedTandems))
 }
 
-// reserve is how many circuits of a group are kept for direct calls: about one standard deviation of a
-// busy group's use, halved and rounded, since a tandem call that gets through costs two groups.
-func (c *Controller) reserve(x *exchange) float64 { return math.Round(math.Sqrt(max(x.size, 0)) / 2) }
+// reserved is the trunk reservation: how many circuits of a group are kept for direct calls. It is half of
+// one standard deviation of a busy group's use, rounded, since a call over a tandem takes circuits of two
+// groups when it is established.
+func (c *Controller) reserved(n *node) float64 { return math.Round(math.Sqrt(max(n.groupSize, 0)) / 2) }
 
-// admit is the one path on which set-ups are sent: it sends the call if a rule, a gap or the circuits do
-// not forbid it now, and tells whether it did.
-func (c *Controller) admit(k *call) bool {
-	d := c.at(k.Dest)
+// admit is the only way in which set-ups are sent. It sends the call unless a rule, a gap or a lack of
+// circuits forbids that now, and reports whether it did.
+func (c *Controller) admit(call *call) bool {
+	dest := c.exchangeByNumber(call.Dest)
 	switch {
-	case d == nil || !d.ready || k.out || k.stands:
+	case dest == nil || !dest.ready || call.attemptPending || call.established:
 		return false
-	case c.now < k.notBefore || c.now >= k.deadline || k.tries >= k.most:
-		return false // the release is awaited; nothing goes out past the deadline
-	case c.spent(k), !c.own.gap.allows(c.now), !c.numberOf(k.Number).gap.allows(c.now):
+	case c.now < call.notBefore || c.now >= call.deadline || call.attempts >= call.allowed:
+		return false // the release delay is not over, or it is too late, or no attempt is left
+	case c.mustNotRepeat(call), !c.local.gap.allows(c.now), !c.stateOfNumber(call.Number).gap.allows(c.now):
 		return false
 	}
-	transit := k.Flags&FlagTransit != 0
-	need := k.Width
+	transit := call.Flags&FlagTransit != 0
+	circuits := call.Width
 	if transit {
-		need += c.reserve(d)
+		circuits += c.reserved(dest)
 	}
-	if k.last() {
-		if t := c.tandem(k, d); t != nil {
-			c.send(k, d, t)
+	if call.isLast() {
+		if tandem := c.chooseTandem(call, dest); tandem != nil {
+			c.send(call, dest, tandem)
 			return true
 		}
 	}
-	if d != c.own && (d.free >= need || d.size < 0) {
-		// A district that does not answer has trial calls of its own, to any exchange that is not cold.
-		if d.claimed == c.pass || !d.zone.gap.allows(c.now) ||
-			(!d.zone.silent || d.gap.floor > 0) && !d.gap.allows(c.now) {
+	if dest != c.local && (dest.freeCircuits >= circuits || dest.groupSize < 0) {
+		// An unresponsive zone has trial calls of its own, which may go to any exchange that is not cold.
+		if dest.claimedInPass == c.pass || !dest.zone.gap.allows(c.now) ||
+			(!dest.zone.unresponsive || dest.gap.minInterval > 0) && !dest.gap.allows(c.now) {
 			return false
 		}
-		c.send(k, d, d)
+		c.send(call, dest, dest)
 		return true
 	}
 	if transit {
 		return false
 	}
-	if t := c.tandem(k, d); t != nil {
-		c.send(k, d, t)
+	if tandem := c.chooseTandem(call, dest); tandem != nil {
+		c.send(call, dest, tandem)
 		return true
 	}
-	if d.free > 0 && d.gap.allows(c.now) {
-		d.claimed = c.pass // it waits for circuits that a narrower, lesser call would take
+	if dest.freeCircuits > 0 && dest.gap.allows(c.now) {
+		dest.claimedInPass = c.pass // narrower calls of lower priority must not take the free circuits
 	}
 	return false
 }
 
-// last tells that a call has met errors and has one try left. Danger: an exchange that answers errors to most
-// set-ups gets all tries of a call within a tenth of a second. The last one goes over a tandem, which has
-// tries of its own, and also over one that turned others back. May harm: two groups are used.
-func (k *call) last() bool { return k.erred && k.tries == k.most-1 && k.Flags&FlagTransit == 0 }
+// isLast reports whether a call was answered with errors and has one attempt left. An exchange that answers
+// most set-ups with errors uses up all attempts of a call within a tenth of a second. So the last attempt
+// goes over a tandem, which makes attempts of its own; tandems that returned other calls are not excluded.
+// Trade-off: such a call takes circuits of two groups.
+func (k *call) isLast() bool { return k.erred && k.attempts == k.allowed-1 && k.Flags&FlagTransit == 0 }
 
-// tandem is the way round for a call whose direct group is full: the remembered tandem while it works, else
-// the advised one, else one known to reach the destination, else any: where many pairs have no group, most
-// of the others do not reach it either. Both processors must grant it; a pressed or cold one is no tandem.
-func (c *Controller) tandem(k *call, d *exchange) *exchange {
-	if d.zone.silent || !d.gap.allows(c.now) || c.numberOf(k.Number).gap.open || d.size != 0 &&
-		(c.own.gap.open || !k.last() && c.now < k.at+c.class(k).AnswerTarget/2) { // a circuit may come free
+// chooseTandem returns a tandem for a call whose direct group is full, or nil: the remembered tandem while it
+// works, else the advised one, else one that is known to reach the destination, else any. Known ones come
+// first since where many pairs of exchanges have no group, most other tandems have none to the destination
+// either. The gaps of the destination and of the tandem must both grant it; an exchange that is overloaded,
+// unresponsive or warming up is not used as a tandem.
+func (c *Controller) chooseTandem(call *call, dest *node) *node {
+	if dest.zone.unresponsive || !dest.gap.allows(c.now) || c.stateOfNumber(call.Number).gap.active ||
+		// A circuit of the direct group may become free.
+		dest.groupSize != 0 && (c.local.gap.active ||
+			!call.isLast() && c.now < call.offeredAt+c.class(call).AnswerTarget/2) {
 		return nil
 	}
-	var pick [3]*exchange
-	var n [3]int
-	for p, t := range c.places {
-		kind := wayTo(k, d, p)
-		if c.rounds(k, kind) <= 0 || c.ownWait > c.most(c.own.least)*c.round[kind] || t == nil || t == d ||
-			t == c.own || !t.ready || t.leaf || t.silent || t.zone.silent || t.gap.open ||
-			k.tried[p] || !k.last() && c.now < d.blocked[p] ||
-			t.free < k.Width+c.reserve(t) || !c.allowed(k, p) {
+	// One tandem of each kind is drawn, each candidate with the same probability.
+	var drawn [3]*node
+	var candidates [3]int
+	for number, tandem := range c.exchanges {
+		kind := tandemKind(call, dest, number)
+		if c.tandemAttemptsLeft(call, kind) <= 0 ||
+			c.localWaitSeconds > c.waitLimit(c.local.workSeconds)*c.tandemSuccess[kind] ||
+			tandem == nil || tandem == dest || tandem == c.local || !tandem.ready || tandem.noTransit ||
+			tandem.unresponsive || tandem.zone.unresponsive || tandem.gap.active ||
+			call.triedTandems[number] || !call.isLast() && c.now < dest.avoidTandemUntil[number] ||
+			tandem.freeCircuits < call.Width+c.reserved(tandem) || !c.poolAllowed(call, number) {
 			continue
 		}
-		if p == d.via && c.now < d.viaUntil {
-			return t
+		if number == dest.lastTandem && c.now < dest.lastTandemUntil {
+			return tandem
 		}
-		if n[kind]++; c.rng.IntN(n[kind]) == 0 {
-			pick[kind] = t
+		if candidates[kind]++; c.rng.IntN(candidates[kind]) == 0 {
+			drawn[kind] = tandem
 		}
 	}
-	return cmp.Or(pick[2], pick[1], pick[0])
+	return cmp.Or(drawn[2], drawn[1], drawn[0])
 }
 
-// wayTo is the kind of a tandem: 2 advised for this call, 1 known to reach the destination, 0 any other.
-func wayTo(k *call, d *exchange, place int) int {
+// tandemKind returns 2 for a tandem that was advised for this call, 1 for one that is known to reach the
+// destination, and 0 for any other.
+func tandemKind(call *call, dest *node, number int) int {
 	switch {
-	case place == k.Via:
+	case number == call.Via:
 		return 2
-	case d != nil && d.reached[place]:
+	case dest != nil && dest.reachableVia[number]:
 		return 1
 	}
 	return 0
 }
 
-func (c *Controller) allowed(k *call, place int) bool {
-	return !c.set.SharedPools || k.Class >= len(c.set.AllowedPools) ||
-		len(c.set.AllowedPools[k.Class]) == 0 || slices.Contains(c.set.AllowedPools[k.Class], place)
+func (c *Controller) poolAllowed(call *call, number int) bool {
+	return !c.settings.SharedPools || call.Class >= len(c.settings.AllowedPools) ||
+		len(c.settings.AllowedPools[call.Class]) == 0 ||
+		slices.Contains(c.settings.AllowedPools[call.Class], number)
 }
 
-// send starts the attempt and spends from every stream that it loads.
-func (c *Controller) send(k *call, d, t *exchange) {
-	k.out, k.to, k.direct, k.sentAt = true, t, t == d, c.now
-	k.tries++
-	t.out = append(t.out, k)
-	t.free -= k.Width
-	t.sent.add(c.now, c.span, 1)
-	t.gap.spend()
-	t.zone.gap.spend()
-	t.used, d.used = true, true
-	c.own.sent.add(c.now, c.span, 1)
-	c.own.gap.spend()
-	c.numberOf(k.Number).gap.spend()
-	if t != d {
-		if d != c.own {
-			d.gap.spend()
-			d.sent.add(c.now, c.span, 1)
+// send starts an attempt towards nextHop, which is the destination or a tandem, and takes a grant from every
+// gap whose stream the set-up loads.
+func (c *Controller) send(call *call, dest, nextHop *node) {
+	call.attemptPending, call.nextHop, call.direct, call.sentAt = true, nextHop, nextHop == dest, c.now
+	call.attempts++
+	nextHop.pending = append(nextHop.pending, call)
+	nextHop.freeCircuits -= call.Width
+	nextHop.setUpRate.add(c.now, c.averagingTime, 1)
+	nextHop.gap.spend()
+	nextHop.zone.gap.spend()
+	nextHop.usedSinceProbe, dest.usedSinceProbe = true, true
+	c.local.setUpRate.add(c.now, c.averagingTime, 1)
+	c.local.gap.spend()
+	c.stateOfNumber(call.Number).gap.spend()
+	if nextHop != dest {
+		if dest != c.local {
+			dest.gap.spend()
+			dest.setUpRate.add(c.now, c.averagingTime, 1)
 		}
-		d.via, d.viaUntil = t.place, c.now+4*c.beat
-		k.tried[t.place] = true
+		dest.lastTandem, dest.lastTandemUntil = nextHop.number, c.now+4*c.adjustInterval
+		call.triedTandems[nextHop.number] = true
 	}
-	// Danger: a jammed processor works through set-ups whose time has passed; one given up in time leaves its
-	// queue, or at least is not repeated, and the call may go another way.
-	wait := k.at + c.class(k).AnswerTarget - c.now
-	if wait <= 0 {
-		wait = c.class(k).AnswerTarget
+	// An overloaded processor also works through set-ups whose time has passed. One that is withdrawn at its
+	// answer target leaves the processor's queue, or at least is not sent again, and the call may take
+	// another route.
+	timeout := call.offeredAt + c.class(call).AnswerTarget - c.now
+	if timeout <= 0 {
+		timeout = c.class(call).AnswerTarget
 	}
-	c.act(Attempt{Ref: k.Ref, Switch: t.id, Timeout: wait})
+	c.addAction(Attempt{Ref: call.Ref, Switch: nextHop.switchID, Timeout: timeout})
 }
 
-// flowing: the call stands.
-func (c *Controller) flowing(e Flowing) {
-	k := c.calls[e.Ref]
-	if k == nil || k.to == nil {
-		return // unknown, or told twice
-	}
-	k.stands = true
-	c.hear(c.own)
-	c.hear(k.to)
-	c.passed(k.to, e.Took)
-	if k.direct {
-		x, took := k.to, e.Took.Seconds()
-		if c.now-x.answered > 2*c.beat {
-			x.wait = took
+// handleFlowing takes the news that a call is established.
+func (c *Controller) handleFlowing(event Flowing) {
+	call := c.calls[event.Ref]
+	if call == nil || call.nextHop == nil {
+		return // unknown, or reported twice
+	}
+	call.established = true
+	c.markAnswered(c.local)
+	c.markAnswered(call.nextHop)
+	c.recordSetUp(call.nextHop, event.Took)
+	if call.direct {
+		exchange, seconds := call.nextHop, event.Took.Seconds()
+		if c.now-exchange.measuredAt > 2*c.adjustInterval {
+			exchange.answerSeconds = seconds
 		}
-		x.wait += (took - x.wait) / 4
-		x.answered, x.least = c.now, min(x.least, x.wait)
-		c.stood.add(c.now, c.span, 1)
-		c.best = max(c.best, c.stood.perS(c.now, c.span))
+		exchange.answerSeconds += (seconds - exchange.answerSeconds) / 4
+		exchange.measuredAt, exchange.workSeconds = c.now, min(exchange.workSeconds, exchange.answerSeconds)
+		c.establishedRate.add(c.now, c.averagingTime, 1)
+		c.maxEstablishedRate = max(c.maxEstablishedRate, c.establishedRate.perSecond(c.now, c.averagingTime))
 	} else {
-		d := c.at(k.Dest)
-		i := wayTo(k, d, k.to.place)
-		c.round[i] += (1 - c.round[i]) / 16
-		d.reached[k.to.place] = true
-	}
-	if k.Flags&(FlagTransit|FlagRedial) == 0 && c.now-k.at <= c.class(k).AnswerTarget {
-		c.served[k.Class]++
-	}
-	c.returned(k)
-	n := c.numberOf(k.Number)
-	n.gap.every, n.busy = max(time.Duration(float64(n.gap.every)*shrink), c.beat), 0
+		dest := c.exchangeByNumber(call.Dest)
+		kind := tandemKind(call, dest, call.nextHop.number)
+		c.tandemSuccess[kind] += (1 - c.tandemSuccess[kind]) / 16
+		dest.reachableVia[call.nextHop.number] = true
+	}
+	if call.Flags&(FlagTransit|FlagRedial) == 0 && c.now-call.offeredAt <= c.class(call).AnswerTarget {
+		c.servedByClass[call.Class]++
+	}
+	c.clearAttempt(call)
+	number := c.stateOfNumber(call.Number)
+	number.gap.interval, number.busyCount =
+		max(time.Duration(float64(number.gap.interval)*shrinkFactor), c.adjustInterval), 0
 }
 
-// passed notes a set-up that ended. All pass the own processor, so its part is at most the shortest of the
-// last few to two exchanges at least. Danger: with the own processor jammed few are answered, and a wait
-// read from answers alone is none at the worst moment: the own gap lifts, and those called are taken for
-// jammed or dead. May harm: where the last few all met trouble elsewhere, it is taken for the own.
-func (c *Controller) passed(x *exchange, took time.Duration) {
-	c.ended = append(c.ended, sample{x, c.now, took.Seconds()})
-	c.ownPart()
+// recordSetUp notes how long a set-up took that was answered, refused or timed out, and updates the wait at
+// the local processor. All set-ups pass the local processor, so the time spent there is at most the shortest
+// of the last few, if these went to two exchanges at least. Refusals and timeouts count too: when the local
+// processor is overloaded few set-ups are answered, and a wait measured from answers alone would be zero when
+// it is longest. The local gap would then be lifted, and the called exchanges would be taken for overloaded
+// or unresponsive. Trade-off: if the last few set-ups were all delayed elsewhere, the delay is taken for the
+// local processor's.
+func (c *Controller) recordSetUp(exchange *node, took time.Duration) {
+	c.recentSetUps = append(c.recentSetUps, sample{exchange, c.now, took.Seconds()})
+	c.updateLocalWait()
 }
 
-func (c *Controller) ownPart() {
-	fresh := max(2*c.beat, localMost*c.spacing(c.own))
-	c.ended = slices.DeleteFunc(c.ended, func(s sample) bool { return c.now-s.at >= fresh })
-	part, two := math.Inf(1), false
-	for _, s := range c.ended {
-		part, two = min(part, s.took), two || s.x != c.ended[0].x
-	}
-	c.ownWait = 0
-	if two {
-		c.own.least = min(c.own.least, part)
-		c.ownWait = part - c.own.least
+// updateLocalWait drops old samples and estimates the wait at the local processor from the others.
+func (c *Controller) updateLocalWait() {
+	maxAge := max(2*c.adjustInterval, maxLocal*c.setUpInterval(c.local))
+	c.recentSetUps = slices.DeleteFunc(c.recentSetUps, func(s sample) bool { return c.now-s.at >= maxAge })
+	shortest, twoExchanges := math.Inf(1), false
+	for _, s := range c.recentSetUps {
+		shortest, twoExchanges = min(shortest, s.seconds),
+			twoExchanges || s.exchange != c.recentSetUps[0].exchange
+	}
+	c.localWaitSeconds = 0
+	if twoExchanges {
+		c.local.workSeconds = min(c.local.workSeconds, shortest)
+		c.localWaitSeconds = shortest - c.local.workSeconds
 	}
 }
 
-// most is the wait that is pressure where some of the time is work: the limit less that, half of it at least.
-// Danger: at a small exchange's slow processor work itself takes longer than the limit; its streams would
-// be gapped for good. May harm: one slowed for long is held to its better days.
-func (c *Controller) most(work float64) float64 { return max(c.target-max(work, 0), c.target/2) }
+// waitLimit is the wait in seconds that means overload where part of the time to an answer is work: the limit
+// less that work, but at least half of the limit. At a small exchange's slow processor the work alone takes
+// longer than the limit, and its streams would be gapped permanently. Trade-off: a processor that is slowed
+// down for a long time is measured against the speed that it had before.
+func (c *Controller) waitLimit(work float64) float64 { return max(c.maxWait-max(work, 0), c.maxWait/2) }
 
-// slow tells that a set-up waited long at the far exchange: more than its work and what the own one takes.
-func (c *Controller) slow(x *exchange, took float64) bool {
-	return took-c.ownWait-x.least > c.most(x.least-c.own.least)
+// slow reports whether a set-up waited long at the far exchange: without the work there and without the wait
+// at the local processor.
+func (c *Controller) slow(exchange *node, seconds float64) bool {
+	return seconds-c.localWaitSeconds-exchange.workSeconds >
+		c.waitLimit(exchange.workSeconds-c.local.workSeconds)
 }
 
-// UnresponsiveCount is how many listed exchanges get trial calls only, since they do not answer.
+// UnresponsiveCount returns how many listed exchanges get only trial calls, since they do not answer.
 func (c *Controller) UnresponsiveCount() int {
-	n := 0
-	for _, x := range c.places {
-		if x != nil && x != c.own && x.ready && (x.silent || x.zone.silent) {
-			n++
+	count := 0
+	for _, exchange := range c.exchanges {
+		if exchange != nil && exchange != c.local && exchange.ready &&
+			(exchange.unresponsive || exchange.zone.unresponsive) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// hear notes that an exchange has answered.
-func (c *Controller) hear(x *exchange) {
-	x.heard, x.bad = c.now, 0
-	if x.silent {
-		x.silent = false
-		c.note("%s: recovered, answers again", x.name)
-		x.gap.bank = gain
-		x.gap.set(c.now, max(x.gap.base, c.beat), c.rng)
-	}
-	if z := x.zone; z != nil {
-		was := z.silent
-		c.hear(z)
-		for _, y := range c.places {
-			if was && y != nil && y.zone == z && y.silent {
-				c.hear(y)
+// markAnswered notes that an exchange has answered, and with it its zone. If the zone was unresponsive, all
+// its exchanges count as responsive again.
+func (c *Controller) markAnswered(exchange *node) {
+	exchange.answeredAt, exchange.failures = c.now, 0
+	if exchange.unresponsive {
+		exchange.unresponsive = false
+		c.note("%s: recovered, answers again", exchange.name)
+		exchange.gap.bank = gainPerInterval
+		exchange.gap.setInterval(c.now, max(exchange.gap.intervalBefore, c.adjustInterval), c.rng)
+	}
+	if zone := exchange.zone; zone != nil {
+		zoneRecovers := zone.unresponsive
+		c.markAnswered(zone)
+		for _, other := range c.exchanges {
+			if zoneRecovers && other != nil && other.zone == zone && other.unresponsive {
+				c.markAnswered(other)
 			}
 		}
-		z.gap.open = false
+		zone.gap.active = false
 	}
 }
 
-// outcome: an attempt has ended.
-func (c *Controller) outcome(e Outcome) {
-	x := c.byID(e.Switch)
-	if x != nil {
-		c.report(x, e.Report)
-	}
-	k := c.calls[e.Ref]
-	if k == nil {
+// handleOutcome takes the end of an attempt or of an established call.
+func (c *Controller) handleOutcome(event Outcome) {
+	exchange := c.exchangeBySwitch(event.Switch)
+	if exchange != nil {
+		c.handleReport(exchange, event.Report)
+	}
+	call := c.calls[event.Ref]
+	if call == nil {
 		return
 	}
-	note := e.Note & 15
-	direct, sentAt, took := k.direct, k.sentAt, c.now-k.sentAt
-	if x != nil && !k.stands &&
-		(e.Code == Full || note == NoteBusy || e.Code == TimedOut && took.Seconds() > c.target) {
-		c.passed(x, took)
+	note := event.Note & 15
+	direct, sentAt, took := call.direct, call.sentAt, c.now-call.sentAt
+	if exchange != nil && !call.established &&
+		(event.Code == Full || note == NoteBusy ||
+			event.Code == TimedOut && took.Seconds() > c.maxWait) {
+		c.recordSetUp(exchange, took)
 	}
-	c.returned(k)
-	k.out = false
-	switch e.Code {
+	c.clearAttempt(call)
+	call.attemptPending = false
+	switch event.Code {
 	case Full:
-		if x != nil {
-			c.hear(x)
+		if exchange != nil {
+			c.markAnswered(exchange)
 			if note == NoteProcessor {
-				c.press(x, true)
-				c.failed()
-			} else if d := c.at(k.Dest); note == NoteCrankback && d != nil && d != c.own {
-				d.blocked[x.place] = c.now + time.Duration(c.others*float64(c.beat))
-				c.round[wayTo(k, d, x.place)] *= 15. / 16
-				if d.via == x.place {
-					d.via = -1
+				c.markOverloaded(exchange, true)
+				c.countLocalFailure()
+			} else if dest := c.exchangeByNumber(call.Dest); note == NoteCrankback && dest != nil &&
+				dest != c.local {
+				dest.avoidTandemUntil[exchange.number] =
+					c.now + time.Duration(c.tandemMemory*float64(c.adjustInterval))
+				c.tandemSuccess[tandemKind(call, dest, exchange.number)] *= 15. / 16
+				if dest.lastTandem == exchange.number {
+					dest.lastTandem = -1
 				}
-				if e.Note&NoteOverloadBeyond != 0 {
-					c.press(d, true)
+				if event.Note&NoteOverloadBeyond != 0 {
+					c.markOverloaded(dest, true)
 				}
 			}
 		}
 	case Failed, TimedOut, Reset, Cancelled, ConnectFailed:
-		k.mayHaveRun = k.mayHaveRun || e.Code != ConnectFailed
-		if e.Code != Failed && e.Code != ConnectFailed {
-			k.notBefore = c.now + c.set.ReleaseDelay
+		call.mayHaveTakenEffect = call.mayHaveTakenEffect || event.Code != ConnectFailed
+		if event.Code != Failed && event.Code != ConnectFailed {
+			call.notBefore = c.now + c.settings.ReleaseDelay
 		}
 		switch {
-		case note == NoteBusy && e.Code == Failed:
-			if x != nil {
-				c.hear(x)
+		case note == NoteBusy && event.Code == Failed:
+			if exchange != nil {
+				c.markAnswered(exchange)
 			}
-			if k.Number != 0 {
-				c.busy(k.Number)
+			if call.Number != 0 {
+				c.markBusy(call.Number)
 			}
-			k.until = c.now // the lines stay taken: no other route helps
-		case note == NoteLinkLost: // the next set-up, on another connection, tells how the exchange is
-		case e.Code == Failed:
-			// Danger: an error is an answer, and some calls get nothing else wherever they go. Taken for
-			// silence, a few of them shut a sound exchange out, and it comes back gapped.
-			k.erred = true
-			if x != nil {
-				c.hear(x)
+			call.holdUntil = c.now // the called line stays busy: no other route helps
+		case note == NoteLinkLost: // tells nothing of the exchange; the next set-up uses another connection
+		case event.Code == Failed:
+			// An error is an answer, and some calls get errors at every exchange. If errors counted as
+			// missing answers, a few such calls would block a sound exchange, and after its recovery its gap
+			// would still be active.
+			call.erred = true
+			if exchange != nil {
+				c.markAnswered(exchange)
 			}
-		case x != nil && e.Code != Cancelled && !k.stands && x.heard < sentAt:
-			// Danger: a crashed processor resets every set-up at once, and a call sent again and again
-			// burns its tries there. One may be chance, or a lost answer, which must not shut the stream; the
-			// second without an answer between is not. A hurried caller's time-out never means silence.
-			late, z := took >= c.class(k).AnswerTarget, x.zone
-			sure := e.Code != TimedOut || late && c.ownWait <= c.target // else: the own processor, or haste
+		case exchange != nil && event.Code != Cancelled && !call.established && exchange.answeredAt < sentAt:
+			// A crashed processor resets every set-up at once, and a call that is sent again and again uses
+			// up its attempts there. One failure may be chance or a lost answer and must not block the
+			// stream; a second without an answer in between does. A timeout before the answer target is due
+			// to a caller with little time left and never counts as a missing answer.
+			late, zone := took >= c.class(call).AnswerTarget, exchange.zone
+			// A late timeout may also come from an overloaded local processor.
+			sure := event.Code != TimedOut || late && c.localWaitSeconds <= c.maxWait
 			if late {
-				c.failed()
+				c.countLocalFailure()
 			}
-			// Danger: of many thin streams to a district cut off each would need two failures of its own,
-			// and its trial calls are no fewer than it sends. They share the evidence, trials and return.
-			// Covers what takes a district down, or several of its exchanges at once. May harm: one well
-			// exchange of it that was not called meanwhile waits for the trials, two a second.
-			if sure && c.at(k.Dest).zone == z && z.heard < sentAt && z != c.own.zone {
-				if z.bad++; z.bad >= localMost && x.bad < z.bad-1 {
-					c.hush(z)
+			// In a zone that is cut off, each of many streams with few calls would need two failures of its
+			// own, and its trial calls would be as many as its calls. So the exchanges of a zone share the
+			// failures, the trial calls and the recovery. This covers a failure of the whole zone and of
+			// several of its exchanges at once. Trade-off: a working exchange of the zone that was not called
+			// meanwhile waits for the trial calls, two a second.
+			if sure && c.exchangeByNumber(call.Dest).zone == zone && zone.answeredAt < sentAt &&
+				zone != c.local.zone {
+				if zone.failures++; zone.failures >= maxLocal && exchange.failures < zone.failures-1 {
+					c.markUnresponsive(zone)
 				}
 			}
-			if x.bad++; x.bad > 1 && sure {
-				c.hush(x)
-			} else if e.Code == TimedOut && c.slow(x, took.Seconds()) {
-				c.press(x, false)
+			if exchange.failures++; exchange.failures > 1 && sure {
+				c.markUnresponsive(exchange)
+			} else if event.Code == TimedOut && c.slow(exchange, took.Seconds()) {
+				c.markOverloaded(exchange, false)
 			}
 		}
 	case NotAttempted:
-		if x != nil && direct && note == NoteNoCircuit {
-			x.free = min(x.free, k.Width-1)
+		if exchange != nil && direct && note == NoteNoCircuit {
+			exchange.freeCircuits = min(exchange.freeCircuits, call.Width-1)
 		}
 		if note == NoteProcessor {
-			c.hush(c.own) // Danger: with the own processor down, calls burn their tries at once
+			// While the local processor is down, calls would use up all their attempts at once.
+			c.markUnresponsive(c.local)
 		}
 	}
 	switch {
-	case e.Final:
-		c.drop(k)
-	case k.Flags&FlagTransit != 0 && e.Code == Failed && note != NoteBusy && c.admit(k): // a tandem retries
-	case e.Code == OK || k.stands || k.Flags&FlagTransit != 0 || k.tries >= k.most ||
-		max(c.now, k.notBefore) >= k.until:
-		c.finish(k)
+	case event.Final:
+		c.forget(call)
+	case call.Flags&FlagTransit != 0 && event.Code == Failed && note != NoteBusy &&
+		c.admit(call): // as a tandem, this exchange makes further attempts at once
+	case event.Code == OK || call.established || call.Flags&FlagTransit != 0 ||
+		call.attempts >= call.allowed || max(c.now, call.notBefore) >= call.holdUntil:
+		c.finish(call)
 	default:
-		c.held = append(c.held, k)
+		c.held = append(c.held, call)
 	}
 }
 
-// failed counts set-ups that met a full processor or no answer since the last that stood. Danger: with the
-// own processor jammed nothing sent can stand, wherever it goes, and every set-up prolongs the jam.
-func (c *Controller) failed() {
-	if c.own.bad++; c.own.bad > 2*localMost {
-		c.hush(c.own)
+// countLocalFailure counts the set-ups since the last established call that met a full processor or got no
+// answer. When the local processor is overloaded, no call can be established on any route, and every set-up
+// prolongs the overload.
+func (c *Controller) countLocalFailure() {
+	if c.local.failures++; c.local.failures > 2*maxLocal {
+		c.markUnresponsive(c.local)
 	}
 }
 
-// busy: all lines of a number are taken. Found so repeatedly, it is a stream with a gap of its own.
-func (c *Controller) busy(num uint64) {
-	n := c.numberOf(num)
-	c.numbers[num], n.last = n, c.now
-	if n.busy++; n.busy < 2 {
+// markBusy notes that a called number is busy. If it is found busy repeatedly, it gets a gap of its own.
+func (c *Controller) markBusy(calledNumber uint64) {
+	number := c.stateOfNumber(calledNumber)
+	c.numbers[calledNumber], number.busyAt = number, c.now
+	if number.busyCount++; number.busyCount < 2 {
 		return
 	}
-	every := 2 * c.beat
-	if n.gap.open {
-		every = min(time.Duration(float64(n.gap.every)*1.5), c.span)
+	interval := 2 * c.adjustInterval
+	if number.gap.active {
+		interval = min(time.Duration(float64(number.gap.interval)*1.5), c.averagingTime)
 	} else {
 		c.note("gap opened on a number found busy")
 	}
-	n.gap.set(c.now, every, c.rng)
-	n.gap.bank = 0
+	number.gap.setInterval(c.now, interval, c.rng)
+	number.gap.bank = 0
 }
 
-// numberOf is what is known of a number; of most, nothing.
-func (c *Controller) numberOf(num uint64) *number {
-	if n := c.numbers[num]; n != nil {
-		return n
+// stateOfNumber returns what is known of a called number, which for most is nothing.
+func (c *Controller) stateOfNumber(calledNumber uint64) *numberState {
+	if number := c.numbers[calledNumber]; number != nil {
+		return number
 	}
-	return &number{}
+	return &numberState{}
 }
 
-// report takes a load report.
-func (c *Controller) report(x *exchange, r []float32) {
-	for i, name := range c.set.ReportFields[:min(len(r), len(c.set.ReportFields))] {
-		v := float64(r[i])
+// handleReport takes a load report. Values that are negative or not finite are skipped.
+func (c *Controller) handleReport(exchange *node, report []float32) {
+	for i, name := range c.settings.ReportFields[:min(len(report), len(c.settings.ReportFields))] {
+		value := float64(report[i])
 		switch {
-		case !(v >= 0) || math.IsInf(v, 0):
-		case name == "idle" && x != c.own:
-			x.free = v
-		case name == "circuits" && x != c.own:
-			x.size = v
+		case !(value >= 0) || math.IsInf(value, 0):
+		case name == "idle" && exchange != c.local:
+			exchange.freeCircuits = value
+		case name == "circuits" && exchange != c.local:
+			exchange.groupSize = value
 		case name == "reduce":
-			x.reduce, x.told = v, c.now
+			exchange.reportedReduction, exchange.reportedAt = value, c.now
 		case name == "mean_ms":
-			x.lag, x.told = v/1000, c.now
+			exchange.reportedWaitSeconds, exchange.reportedAt = value/1000, c.now
 		}
 	}
 }
 
-// spacing is the present interval between set-ups towards an exchange.
-func (c *Controller) spacing(x *exchange) time.Duration {
-	if r := x.sent.perS(c.now, c.span); r > 0 {
-		return min(max(time.Duration(float64(time.Second)/r), c.beat/50), c.span)
+// setUpInterval is the present mean time between set-ups to an exchange; adjustInterval if none was sent.
+func (c *Controller) setUpInterval(exchange *node) time.Duration {
+	if perSecond := exchange.setUpRate.perSecond(c.now, c.averagingTime); perSecond > 0 {
+		return min(max(time.Duration(float64(time.Second)/perSecond), c.adjustInterval/50), c.averagingTime)
 	}
-	return c.beat
+	return c.adjustInterval
 }
 
-// press: a sign of pressure at a processor opens its gap, and stretches it while it lasts.
-func (c *Controller) press(x *exchange, full bool) {
-	if x.silent {
+// markOverloaded takes a sign of overload at a processor: it activates its gap, and lengthens the interval
+// while the overload lasts. full: the processor refused a set-up.
+func (c *Controller) markOverloaded(exchange *node, full bool) {
+	if exchange.unresponsive {
 		return
 	}
-	most := max(2*x.gap.base, c.beat)
+	maxInterval := max(2*exchange.gap.intervalBefore, c.adjustInterval)
 	if full {
-		// It has jammed: the wait is far past any aim, and what it turns away costs it work too.
-		most, x.gap.bank = 4*most, 0
+		// Its wait is far longer than any answer target, and the set-ups that it refuses cost it work too.
+		maxInterval, exchange.gap.bank = 4*maxInterval, 0
 	}
-	every := min(time.Duration(float64(x.gap.every)*grow), most)
-	if !x.gap.open {
-		every = c.spacing(x)
-		c.note("%s: gap opened, T %v", x.name, every.Round(time.Millisecond))
+	interval := min(time.Duration(float64(exchange.gap.interval)*growFactor), maxInterval)
+	if !exchange.gap.active {
+		interval = c.setUpInterval(exchange)
+		c.note("%s: gap opened, T %v", exchange.name, interval.Round(time.Millisecond))
 	}
-	c.stretch(x, every)
+	c.adjustGap(exchange, interval)
 }
 
-// stretch gives a gap another T, at most once a pace.
-func (c *Controller) stretch(x *exchange, every time.Duration) {
-	g := &x.gap
-	g.pressed = c.now
-	if !g.open {
-		g.base = c.spacing(x)
+// adjustGap activates a gap, or changes its interval unless that was changed a short time ago.
+func (c *Controller) adjustGap(exchange *node, interval time.Duration) {
+	gap := &exchange.gap
+	gap.overloadedAt = c.now
+	if !gap.active {
+		gap.intervalBefore = c.setUpInterval(exchange)
 	}
-	if !g.open || c.now-g.judged >= g.pace(c.beat) {
-		g.set(c.now, every, c.rng)
+	if !gap.active || c.now-gap.adjustedAt >= gap.minAdjustInterval(c.adjustInterval) {
+		gap.setInterval(c.now, interval, c.rng)
 	}
 }
 
-// hush: set-ups go unanswered. Danger: a hung processor sends no refusals, so a counter would keep
-// granting. Down to single trial calls with an empty bank, until something is answered.
-func (c *Controller) hush(x *exchange) {
-	if !x.silent {
-		x.silent, x.gap.judged = true, c.now-x.gap.pace(c.beat) // at once
-		c.note("%s: suspected, does not answer", x.name)
-	}
-	every := min(max(2*x.gap.every, 2*c.beat), 4*c.beat)
-	if x != c.own && x.zone == nil {
-		every = c.beat // a district: its trials are few among its exchanges
-	}
-	c.stretch(x, every)
-	x.gap.bank = 0
+// markUnresponsive limits an exchange or zone that does not answer to single trial calls, with an empty bank,
+// until something is answered. A hung processor sends no refusals, so the counter alone would keep granting.
+func (c *Controller) markUnresponsive(exchange *node) {
+	if !exchange.unresponsive {
+		// The time of the last change is set back so that adjustGap changes the interval now.
+		exchange.unresponsive, exchange.gap.adjustedAt =
+			true, c.now-exchange.gap.minAdjustInterval(c.adjustInterval)
+		c.note("%s: suspected, does not answer", exchange.name)
+	}
+	interval := min(max(2*exchange.gap.interval, 2*c.adjustInterval), 4*c.adjustInterval)
+	if exchange != c.local && exchange.zone == nil {
+		interval = c.adjustInterval // a zone: all its exchanges share these few trial calls
+	}
+	c.adjustGap(exchange, interval)
+	exchange.gap.bank = 0
 }
 
-// sense looks at one exchange's signs of pressure and lets its gap follow them.
-func (c *Controller) sense(x *exchange) {
-	g := &x.gap
-	if g.floor > 0 {
-		c.warm(x)
-	}
-	if x.silent {
-		g.bank = min(g.bank, gain) // nor does it bank while others hold its trial calls back
+// checkOverload examines one exchange for signs of overload and adjusts its gap.
+func (c *Controller) checkOverload(exchange *node) {
+	gap := &exchange.gap
+	if gap.minInterval > 0 {
+		c.updateWarmUp(exchange)
+	}
+	if exchange.unresponsive {
+		gap.bank = min(gap.bank, gainPerInterval) // trial calls that another gap holds back must not add up
 		return
 	}
-	fresh := 2 * g.pace(c.beat)
-	slow := x == c.own && c.ownWait > c.most(x.least) || c.now-x.answered < fresh && c.slow(x, x.wait) ||
-		len(x.out) > 0 && x.out[0].direct && c.slow(x, (c.now-x.out[0].sentAt).Seconds())
-	if slow || c.now-x.told < 2*fresh && (x.reduce > 0.3 || x.lag > c.target) {
-		c.press(x, false)
+	maxAge := 2 * gap.minAdjustInterval(c.adjustInterval)
+	slow := exchange == c.local && c.localWaitSeconds > c.waitLimit(exchange.workSeconds) ||
+		c.now-exchange.measuredAt < maxAge && c.slow(exchange, exchange.answerSeconds) ||
+		len(exchange.pending) > 0 && exchange.pending[0].direct &&
+			c.slow(exchange, (c.now-exchange.pending[0].sentAt).Seconds())
+	if slow || c.now-exchange.reportedAt < 2*maxAge &&
+		(exchange.reportedReduction > 0.3 || exchange.reportedWaitSeconds > c.maxWait) {
+		c.markOverloaded(exchange, false)
 		return
 	}
-	if g.open && c.now-g.pressed >= g.pace(c.beat) && c.now-g.judged >= g.pace(c.beat) {
-		g.set(c.now, time.Duration(float64(g.every)*shrink), c.rng)
-		if g.floor == 0 && g.every <= c.spacing(x)/2 {
-			g.open = false
-			c.note("%s: gap lifted", x.name)
+	if gap.active && c.now-gap.overloadedAt >= gap.minAdjustInterval(c.adjustInterval) &&
+		c.now-gap.adjustedAt >= gap.minAdjustInterval(c.adjustInterval) {
+		gap.setInterval(c.now, time.Duration(float64(gap.interval)*shrinkFactor), c.rng)
+		if gap.minInterval == 0 && gap.interval <= c.setUpInterval(exchange)/2 {
+			gap.active = false
+			c.note("%s: gap lifted", exchange.name)
 		}
 	}
 }
 
-// tick looks after what only time changes.
+// tick does the periodic work: it adjusts gaps, sends load probes and forgets what has expired.
 func (c *Controller) tick() {
-	c.ticking = false
-	again := c.span.Seconds() * c.others // to be tried again some time
-	for i := range c.round {
-		c.round[i] += (1 - c.round[i]) * look.Seconds() / again
-	}
-	c.ownPart()
-	for _, x := range c.places {
-		if x == nil {
+	c.tickScheduled = false
+	// The success shares return to 1, so that tandems that returned calls are tried again after some time.
+	recoverySeconds := c.averagingTime.Seconds() * c.tandemMemory
+	for kind := range c.tandemSuccess {
+		c.tandemSuccess[kind] += (1 - c.tandemSuccess[kind]) * tickInterval.Seconds() / recoverySeconds
+	}
+	c.updateLocalWait()
+	for _, exchange := range c.exchanges {
+		if exchange == nil {
 			continue
 		}
-		c.sense(x)
-		if c.set.Probes && c.set.ReportHow == "on_probe" && x.ready && x.gap.floor == 0 &&
-			c.now >= x.probeAt && !x.probing && (x.used || x.gap.open) {
-			// Danger: probes to all from all grow with the square of the fleet and load every processor. One
-			// gets no more than twice the local limit a second from all, however many they are.
-			x.probing, x.used = true, false
-			pace := max(float64(c.set.Replicas-1)/(2*localMost), 1) * (0.8 + 0.4*c.rng.Float64())
-			x.probeAt = c.now + time.Duration(pace*float64(time.Second))
-			c.act(AskLoad{Switch: x.id})
+		c.checkOverload(exchange)
+		if c.settings.Probes && c.settings.ReportHow == "on_probe" && exchange.ready &&
+			exchange.gap.minInterval == 0 && c.now >= exchange.nextProbeAt && !exchange.probePending &&
+			(exchange.usedSinceProbe || exchange.gap.active) {
+			// If every controller probed every exchange, the probes would grow with the square of the number
+			// of exchanges and load every processor. So one exchange gets at most twice maxLocal probes a
+			// second from all controllers, however many there are.
+			exchange.probePending, exchange.usedSinceProbe = true, false
+			seconds := max(float64(c.settings.Replicas-1)/(2*maxLocal), 1) * (0.8 + 0.4*c.rng.Float64())
+			exchange.nextProbeAt = c.now + time.Duration(seconds*float64(time.Second))
+			c.addAction(AskLoad{Switch: exchange.switchID})
 		}
 	}
-	for num, n := range c.numbers {
-		if c.now-n.last > 3*c.span && c.now >= n.redial {
-			delete(c.numbers, num)
+	for calledNumber, number := range c.numbers {
+		if c.now-number.busyAt > 3*c.averagingTime && c.now >= number.redialUntil {
+			delete(c.numbers, calledNumber)
 		}
 	}
 }
--- a/controller_test.go
+++ b/controller_test.go
@@ -25,91 +25,94 @@
 	}
 }
 
-// bench plays one controller; far exchanges 1 to 3 are switches 101 to 103, the own one is 100.
-type bench struct {
+// testBench runs one controller and checks that each call gets one final answer at most and no attempt after it.
+// Far exchanges 1 to 3 are switches 101 to 103, the local one, 0, is 100. Exchanges 1 and 3 are of another zone.
+type testBench struct {
 	*testing.T
-	c     *Controller
-	now   time.Duration
-	ref   uint32
-	acts  []Action
-	final map[uint32]Action
-	tries map[uint32]int
-	sends map[uint32][]time.Duration // by switch
-	to    map[uint32]uint32
-	wait  map[uint32]time.Duration // the attempt's own time-out
+	controller *Controller
+	now        time.Duration
+	lastRef    uint32
+	actions    []Action                   // of the last event
+	answers    map[uint32]Action          // final answers, by call
+	attempts   map[uint32]int             // by call
+	sentAt     map[uint32][]time.Duration // times of the attempts, by switch
+	lastSwitch map[uint32]uint32          // of the last attempt, by call
+	timeouts   map[uint32]time.Duration   // of the last attempt, by call
 }
 
-func start(t *testing.T, s Settings) *bench {
-	b := &bench{T: t, c: New(s, 7), now: time.Hour, final: map[uint32]Action{}, tries: map[uint32]int{},
-		sends: map[uint32][]time.Duration{}, to: map[uint32]uint32{}, wait: map[uint32]time.Duration{}}
+func newBench(t *testing.T, s Settings) *testBench {
+	b := &testBench{T: t, controller: New(s, 7), now: time.Hour, answers: map[uint32]Action{}, attempts: map[uint32]int{},
+		sentAt: map[uint32][]time.Duration{}, lastSwitch: map[uint32]uint32{}, timeouts: map[uint32]time.Duration{}}
 	var list []Entry
-	for p := 0; p < 4; p++ {
-		list = append(list, Entry{Switch: uint32(100 + p), ExchangeNumber: p, Mode: Ready, Zone: p % 2})
+	for number := 0; number < 4; number++ {
+		list = append(list, Entry{Switch: uint32(100 + number), ExchangeNumber: number, Mode: Ready, Zone: number % 2})
 	}
-	b.do(Topology{Kind: ListCached, Entries: list})
-	for p := 1; p < 4; p++ {
-		b.free(p, 30)
+	b.handle(Topology{Kind: ListCached, Entries: list})
+	for number := 1; number < 4; number++ {
+		b.reportFree(number, 30)
 	}
 	return b
 }
 
-func (b *bench) do(e Event) []Action {
+func (b *testBench) handle(event Event) []Action {
 	b.Helper()
-	b.acts = b.c.Handle(b.now, e, nil)
-	for _, a := range b.acts {
+	b.actions = b.controller.Handle(b.now, event, nil)
+	for _, a := range b.actions {
 		switch a := a.(type) {
 		case Attempt:
-			b.tries[a.Ref]++
-			b.sends[a.Switch] = append(b.sends[a.Switch], b.now)
-			b.to[a.Ref], b.wait[a.Ref] = a.Switch, a.Timeout
-			if b.final[a.Ref] != nil {
+			b.attempts[a.Ref]++
+			b.sentAt[a.Switch] = append(b.sentAt[a.Switch], b.now)
+			b.lastSwitch[a.Ref], b.timeouts[a.Ref] = a.Switch, a.Timeout
+			if b.answers[a.Ref] != nil {
 				b.Fatalf("call %d sent after its final answer", a.Ref)
 			}
 		case Decline:
-			b.end(a.Ref, a)
+			b.recordAnswer(a.Ref, a)
 		case GiveUp:
-			b.end(a.Ref, a)
+			b.recordAnswer(a.Ref, a)
 		}
 	}
-	return b.acts
+	return b.actions
 }
 
-func (b *bench) end(ref uint32, a Action) {
+func (b *testBench) recordAnswer(ref uint32, a Action) {
 	b.Helper()
-	if b.final[ref] != nil {
+	if b.answers[ref] != nil {
 		b.Fatalf("call %d answered twice", ref)
 	}
-	b.final[ref] = a
+	b.answers[ref] = a
 }
 
-// pass lets time go by, with the controller's own timer.
-func (b *bench) pass(d time.Duration) {
+// advance moves the clock forward, with the controller's own timer.
+func (b *testBench) advance(duration time.Duration) {
 	b.Helper()
-	for end := b.now + d; b.now < end; {
+	for end := b.now + duration; b.now < end; {
 		b.now += 20 * ms
-		b.do(TickDue{Handle: 1})
+		b.handle(TickDue{Handle: 1})
 	}
 }
 
-func (b *bench) free(place int, n float32) {
+// reportFree sends a load report with the number of free circuits of the group to an exchange.
+func (b *testBench) reportFree(number int, circuits float32) {
 	b.Helper()
-	b.do(Sampled{Switch: uint32(100 + place), Code: OK, Report: []float32{n, 60, -1, -1}})
+	b.handle(Sampled{Switch: uint32(100 + number), Code: OK, Report: []float32{circuits, 60, -1, -1}})
 }
 
-func (b *bench) offer(dest int, more ...func(*Offer)) uint32 {
+// offer offers a call with a called number of its own and returns its reference.
+func (b *testBench) offer(dest int, change ...func(*Offer)) uint32 {
 	b.Helper()
-	b.ref++
-	o := Offer{Ref: b.ref, Number: uint64(b.ref) + 1000, Width: 1, TimeLeft: 3 * time.Second, Dest: dest, Via: -1}
-	for _, f := range more {
+	b.lastRef++
+	o := Offer{Ref: b.lastRef, Number: uint64(b.lastRef) + 1000, Width: 1, TimeLeft: 3 * time.Second, Dest: dest, Via: -1}
+	for _, f := range change {
 		f(&o)
 	}
-	b.do(o)
-	return b.ref
+	b.handle(o)
+	return b.lastRef
 }
 
-// sentTo is the switch of the last action's attempt for a call, 0 if none.
-func (b *bench) sentTo(ref uint32) uint32 {
-	for _, a := range b.acts {
+// attemptedSwitch is the switch to which the last event sent an attempt of the call, 0 if none.
+func (b *testBench) attemptedSwitch(ref uint32) uint32 {
+	for _, a := range b.actions {
 		if t, ok := a.(Attempt); ok && t.Ref == ref {
 			return t.Switch
 		}
@@ -117,52 +120,53 @@
 	return 0
 }
 
-func (b *bench) ends(ref, sw uint32, code Code, note uint32) {
+func (b *testBench) endAttempt(ref, switchID uint32, code Code, note uint32) {
 	b.Helper()
-	b.do(Outcome{Ref: ref, Try: b.tries[ref] - 1, Switch: sw, Code: code, Note: note})
+	b.handle(Outcome{Ref: ref, Try: b.attempts[ref] - 1, Switch: switchID, Code: code, Note: note})
 }
 
-func (b *bench) stand(ref, sw uint32) {
+func (b *testBench) establish(ref, switchID uint32) {
 	b.Helper()
-	b.do(Flowing{Ref: ref, Switch: sw, Took: 50 * ms})
+	b.handle(Flowing{Ref: ref, Switch: switchID, Took: 50 * ms})
 }
 
-// standAll answers every attempt that is out.
-func (b *bench) standAll() {
-	for ref, k := range b.c.calls {
-		if k.out && !k.stands {
-			b.stand(ref, b.to[ref])
+// establishAll answers every pending attempt.
+func (b *testBench) establishAll() {
+	for ref, call := range b.controller.calls {
+		if call.attemptPending && !call.established {
+			b.establish(ref, b.lastSwitch[ref])
 		}
 	}
 }
 
-// The counter against the paper: about one grant a T under overload, almost no loss below it.
-func TestGapCarriesOneCallEachInterval(t *testing.T) {
-	for _, c := range []struct{ offered, low, high float64 }{
+// The counter behaves as in Turner and Key's paper: about one grant per interval T under overload, and almost no call
+// refused below it.
+func TestGapGrantsOneCallPerInterval(t *testing.T) {
+	for _, test := range []struct{ offered, low, high float64 }{
 		{0.9, 0.88, 0.92}, {1.0, 0.96, 1.01}, {1.1, 0.98, 1.01}, {3, 0.98, 1.01}} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		var g gap
-		g.set(0, time.Second, rng)
+		g.setInterval(0, time.Second, rng)
 		g.bank = 16
 		granted, now := 0, 0.0
 		for now < 5000 {
-			now += rng.ExpFloat64() / c.offered
+			now += rng.ExpFloat64() / test.offered
 			if g.allows(time.Duration(now * 1e9)) {
 				g.spend()
 				granted++
 			}
 		}
-		if r := float64(granted) / now; r < c.low || r > c.high {
-			t.Errorf("offered %v a T: carried %.3f, want %v to %v", c.offered, r, c.low, c.high)
+		if perInterval := float64(granted) / now; perInterval < test.low || perInterval > test.high {
+			t.Errorf("%v calls offered per interval: %.3f granted, want %v to %v", test.offered, perInterval, test.low, test.high)
 		}
 	}
 }
 
-func TestGapBanksAtMostN(t *testing.T) {
+func TestGapBankLimit(t *testing.T) {
 	var g gap
-	g.set(0, time.Second, rand.New(rand.NewPCG(1, 2)))
-	if g.bank != gain {
-		t.Errorf("opens with %d, want %d", g.bank, gain)
+	g.setInterval(0, time.Second, rand.New(rand.NewPCG(1, 2)))
+	if g.bank != gainPerInterval {
+		t.Errorf("a new gap has %d grants, want %d", g.bank, gainPerInterval)
 	}
 	n := 0
 	for now := time.Hour; g.bank > 0 || now == time.Hour; now++ {
@@ -170,531 +174,542 @@
 			g.spend()
 			n++
 		}
-		if g.local = 0; n > bankMost {
+		if g.local = 0; n > maxBank {
 			break
 		}
 	}
-	if n != bankMost {
-		t.Errorf("a long quiet spell grants %d at once, want %d", n, bankMost)
+	if n != maxBank {
+		t.Errorf("%d set-ups granted at once after a long time without calls, want %d", n, maxBank)
 	}
 }
 
 func TestGapLocalLimit(t *testing.T) {
 	var g gap
-	g.set(0, time.Second, rand.New(rand.NewPCG(1, 2)))
+	g.setInterval(0, time.Second, rand.New(rand.NewPCG(1, 2)))
 	n := 0
 	for g.allows(time.Minute) {
 		g.spend()
 		n++
 	}
-	if n != localMost {
-		t.Errorf("granted %d within an interval, want %d", n, localMost)
+	if n != maxLocal {
+		t.Errorf("%d set-ups granted within an interval, want %d", n, maxLocal)
 	}
 }
 
 func TestDirectFirstThenRememberedTandem(t *testing.T) {
-	b := start(t, settings())
-	if r := b.offer(1); b.sentTo(r) != 101 {
-		t.Fatal("not direct while the own group has room")
+	b := newBench(t, settings())
+	if r := b.offer(1); b.attemptedSwitch(r) != 101 {
+		t.Fatal("not sent on the direct group though it has free circuits")
 	}
-	b.free(1, 0)
+	b.reportFree(1, 0)
 	r := b.offer(1)
-	b.pass(800 * ms)
-	via := b.c.places[1].via
-	if b.tries[r] != 1 || via != 2 && via != 3 {
-		t.Fatalf("%d tries over %d, want one over a tandem", b.tries[r], via)
+	b.advance(800 * ms)
+	via := b.controller.exchanges[1].lastTandem
+	if b.attempts[r] != 1 || via != 2 && via != 3 {
+		t.Fatalf("%d attempts, tandem %d, want one attempt over a tandem", b.attempts[r], via)
 	}
-	b.stand(r, uint32(100+via))
+	b.establish(r, uint32(100+via))
 	for i := 0; i < 5; i++ {
 		r = b.offer(1)
-		b.pass(800 * ms)
-		if b.c.places[1].via != via {
-			t.Fatal("the tandem that works was not used again")
+		b.advance(800 * ms)
+		if b.controller.exchanges[1].lastTandem != via {
+			t.Fatal("the tandem that worked was not used again")
 		}
 	}
-	b.ends(r, uint32(100+via), Full, NoteCrankback)
-	if b.c.places[1].via == via {
-		t.Error("the tandem is not redrawn after a block")
+	b.endAttempt(r, uint32(100+via), Full, NoteCrankback)
+	if b.controller.exchanges[1].lastTandem == via {
+		t.Error("the tandem is still remembered after it returned a call")
 	}
 }
 
 func TestTrunkReservation(t *testing.T) {
-	b := start(t, settings())
-	b.free(1, 0)
-	b.free(2, 3) // a root of 60 circuits, halved, is kept: 4
-	b.free(3, 4)
+	b := newBench(t, settings())
+	b.reportFree(1, 0)
+	b.reportFree(2, 3) // 4 are reserved: half the square root of 60 circuits
+	b.reportFree(3, 4)
 	r := b.offer(1)
-	b.pass(time.Second)
-	if b.tries[r] != 0 {
-		t.Error("overflow took reserved circuits")
+	b.advance(time.Second)
+	if b.attempts[r] != 0 {
+		t.Error("a call over a tandem took reserved circuits")
 	}
-	b.free(1, 4)
-	b.pass(20 * ms)
+	b.reportFree(1, 4)
+	b.advance(20 * ms)
 	r = b.offer(1, func(o *Offer) { o.Flags, o.Via = FlagTransit, 3 })
-	if b.final[r] == nil {
+	if b.answers[r] == nil {
 		t.Error("a call in transit took reserved circuits or was held")
 	}
 }
 
-func TestPressureOpensAndQuietLiftsTheGap(t *testing.T) {
-	b := start(t, settings())
+func TestOverloadActivatesGapAndItsEndLiftsIt(t *testing.T) {
+	b := newBench(t, settings())
 	r := b.offer(1)
-	b.ends(r, 101, Full, NoteProcessor)
-	if !b.c.places[1].gap.open {
-		t.Fatal("processor full opens no gap")
+	b.endAttempt(r, 101, Full, NoteProcessor)
+	if !b.controller.exchanges[1].gap.active {
+		t.Fatal("a full processor activates no gap")
 	}
-	before := len(b.sends[101])
+	before := len(b.sentAt[101])
 	for i := 0; i < 20; i++ {
 		b.offer(1)
 	}
-	if sent := len(b.sends[101]) - before; sent > gain {
-		t.Errorf("%d set-ups past an empty counter", sent)
+	if sent := len(b.sentAt[101]) - before; sent > gainPerInterval {
+		t.Errorf("%d set-ups sent, though the counter is empty", sent)
 	}
 	for i := 0; i < 1000; i++ {
-		b.pass(20 * ms)
-		b.standAll()
+		b.advance(20 * ms)
+		b.establishAll()
 	}
-	if b.c.places[1].gap.open {
-		t.Error("the gap did not lift")
+	if b.controller.exchanges[1].gap.active {
+		t.Error("the gap was not lifted after the overload")
 	}
-	b.do(Sampled{Switch: 102, Code: OK, Took: ms, Report: []float32{30, 60, 5000, -1}})
-	b.pass(20 * ms)
-	if !b.c.places[2].gap.open {
-		t.Error("a reported wait opens no gap")
+	b.handle(Sampled{Switch: 102, Code: OK, Took: ms, Report: []float32{30, 60, 5000, -1}})
+	b.advance(20 * ms)
+	if !b.controller.exchanges[2].gap.active {
+		t.Error("a reported wait activates no gap")
 	}
 }
 
-// A number repeatedly busy is thinned at the source, and others are not.
-func TestHotNumber(t *testing.T) {
-	b := start(t, settings())
-	hot := func(o *Offer) { o.Number = 42 }
+// Calls to a number that is busy repeatedly are limited here; calls to other numbers of the same exchange are not.
+func TestBusyNumberIsGapped(t *testing.T) {
+	b := newBench(t, settings())
+	busy := func(o *Offer) { o.Number = 42 }
 	for i := 0; i < 2; i++ {
-		r := b.offer(1, hot)
-		b.ends(r, 101, Failed, NoteBusy)
-		if b.final[r] == nil {
-			t.Fatal("a call to a busy number is not answered")
+		r := b.offer(1, busy)
+		b.endAttempt(r, 101, Failed, NoteBusy)
+		if b.answers[r] == nil {
+			t.Fatal("a call to a busy number gets no final answer")
 		}
 	}
 	sent := 0
 	for i := 0; i < 50; i++ {
-		if r := b.offer(1, hot); b.tries[r] > 0 {
+		if r := b.offer(1, busy); b.attempts[r] > 0 {
 			sent++
 		}
 	}
 	if sent > 1 {
-		t.Errorf("%d set-ups to a number found busy", sent)
+		t.Errorf("%d set-ups sent to a number found busy", sent)
 	}
-	if r := b.offer(1); b.tries[r] != 1 {
+	if r := b.offer(1); b.attempts[r] != 1 {
 		t.Error("another number of the same exchange was gapped")
 	}
-	b.pass(40 * time.Second)
-	if len(b.c.numbers) != 0 {
-		t.Error("numbers are not forgotten")
+	b.advance(40 * time.Second)
+	if len(b.controller.numbers) != 0 {
+		t.Error("busy numbers are not forgotten")
 	}
 }
 
-// Rule 1: every path ends in one final answer in time.
+// The rule on final answers: whatever happens to a call, it gets one final answer within its caller's time.
 func TestFinalAnswerOnEveryPath(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		play func(b *bench, r uint32)
+		run  func(b *testBench, r uint32)
 	}{
-		{"held without circuits", func(b *bench, r uint32) {}},
-		{"time-out at the deadline", func(b *bench, r uint32) {
-			b.free(1, 9)
+		{"held without circuits", func(b *testBench, r uint32) {}},
+		{"timeout at the deadline", func(b *testBench, r uint32) {
+			b.reportFree(1, 9)
 			b.now += 3*time.Second - 20*ms
-			b.ends(r, 101, TimedOut, 0)
+			b.endAttempt(r, 101, TimedOut, 0)
 		}},
-		{"full again and again", func(b *bench, r uint32) {
-			b.free(1, 9)
-			for b.final[r] == nil && b.now < time.Hour+4*time.Second {
-				if b.sentTo(r) != 0 {
-					b.ends(r, 101, Full, NoteProcessor)
+		{"refused repeatedly by a full processor", func(b *testBench, r uint32) {
+			b.reportFree(1, 9)
+			for b.answers[r] == nil && b.now < time.Hour+4*time.Second {
+				if b.attemptedSwitch(r) != 0 {
+					b.endAttempt(r, 101, Full, NoteProcessor)
 				} else {
-					b.pass(20 * ms)
+					b.advance(20 * ms)
 				}
 			}
 		}},
-		{"destination gone while held", func(b *bench, r uint32) {
-			b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Gone}}})
+		{"destination has left while the call is held", func(b *testBench, r uint32) {
+			b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Gone}}})
 		}},
-		{"own processor down", func(b *bench, r uint32) {
-			b.free(1, 9)
-			b.ends(r, 101, NotAttempted, NoteProcessor)
+		{"local processor down", func(b *testBench, r uint32) {
+			b.reportFree(1, 9)
+			b.endAttempt(r, 101, NotAttempted, NoteProcessor)
 		}},
-		{"reset", func(b *bench, r uint32) {
-			b.free(1, 9)
-			b.ends(r, 101, Reset, 0)
-			b.free(1, 0)
+		{"reset", func(b *testBench, r uint32) {
+			b.reportFree(1, 9)
+			b.endAttempt(r, 101, Reset, 0)
+			b.reportFree(1, 0)
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := start(t, settings())
+		t.Run(test.name, func(t *testing.T) {
+			b := newBench(t, settings())
 			for p := 1; p < 4; p++ {
-				b.free(p, 0)
+				b.reportFree(p, 0)
 			}
 			r := b.offer(1)
-			c.play(b, r)
+			test.run(b, r)
 			for end := time.Hour + 3*time.Second; b.now < end; {
-				if b.final[r] == nil && b.c.calls[r] != nil && b.c.calls[r].out {
-					b.ends(r, 101, Full, NoteProcessor)
+				if b.answers[r] == nil && b.controller.calls[r] != nil && b.controller.calls[r].attemptPending {
+					b.endAttempt(r, 101, Full, NoteProcessor)
 				}
-				b.pass(20 * ms)
+				b.advance(20 * ms)
 			}
-			if b.final[r] == nil {
-				t.Fatal("no final answer by the end of the caller's time")
+			if b.answers[r] == nil {
+				t.Fatal("no final answer within the caller's time")
 			}
-			if len(b.c.calls) != 0 {
+			if len(b.controller.calls) != 0 {
 				t.Error("the call is not forgotten")
 			}
 		})
 	}
 }
 
-func TestWithdrawnWhileOut(t *testing.T) {
-	b := start(t, settings())
+func TestCallWithdrawnWhileAttemptPending(t *testing.T) {
+	b := newBench(t, settings())
 	r := b.offer(1)
-	b.do(Withdrawn{Ref: r})
-	b.do(Outcome{Ref: r, Switch: 101, Code: Full, Note: NoteCrankback})
-	b.pass(time.Second)
-	if b.tries[r] != 1 || b.final[r] != nil {
-		t.Error("a call withdrawn was sent or answered again")
+	b.handle(Withdrawn{Ref: r})
+	b.handle(Outcome{Ref: r, Switch: 101, Code: Full, Note: NoteCrankback})
+	b.advance(time.Second)
+	if b.attempts[r] != 1 || b.answers[r] != nil {
+		t.Error("a withdrawn call was sent again or answered")
 	}
 }
 
-// Rule 2: one attempt at a time.
-func TestNeverTwoOut(t *testing.T) {
-	b := start(t, settings())
+// The rule on attempts: a call has one attempt at a time.
+func TestOneAttemptAtATime(t *testing.T) {
+	b := newBench(t, settings())
 	r := b.offer(1)
-	b.c.held = append(b.c.held, b.c.calls[r]) // even if it were held by mistake
-	b.pass(time.Second)
-	if b.tries[r] != 1 {
-		t.Errorf("%d attempts out", b.tries[r])
+	b.controller.held = append(b.controller.held, b.controller.calls[r]) // as if it were held by mistake
+	b.advance(time.Second)
+	if b.attempts[r] != 1 {
+		t.Errorf("%d attempts, want one", b.attempts[r])
 	}
 }
 
-// Rule 3: nothing to a machine that drains or is gone, nor one that a full list no longer has.
-func TestDrainsKept(t *testing.T) {
+// The rule on drains: no set-ups go to a machine that drains or has left, nor to one that is missing in a full list, neither
+// direct nor with it as a tandem. A machine that replaces it gets set-ups.
+func TestNoSetUpsToDrainingOrGoneExchange(t *testing.T) {
 	for _, e := range []Topology{
 		{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Draining}}},
 		{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Gone}}},
 		{Kind: ListFull, Entries: []Entry{{Switch: 102, ExchangeNumber: 2, Mode: Ready},
 			{Switch: 103, ExchangeNumber: 3, Mode: Ready}}},
 	} {
-		b := start(t, settings())
-		b.do(e)
-		if r := b.offer(1); b.tries[r] != 0 {
-			t.Errorf("%+v: sent to it", e)
+		b := newBench(t, settings())
+		b.handle(e)
+		if r := b.offer(1); b.attempts[r] != 0 {
+			t.Errorf("%+v: a set-up was sent to it", e)
 		}
-		b.free(2, 0)
+		b.reportFree(2, 0)
 		r := b.offer(2)
-		b.pass(time.Second)
-		if b.sentTo(r) == 101 || b.c.places[2].via == 1 {
-			t.Errorf("%+v: used as a tandem", e)
+		b.advance(time.Second)
+		if b.attemptedSwitch(r) == 101 || b.controller.exchanges[2].lastTandem == 1 {
+			t.Errorf("%+v: it was used as a tandem", e)
 		}
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 201, ExchangeNumber: 1, Mode: Ready}}})
-		b.do(Sampled{Switch: 201, Code: OK, Report: []float32{20, 60, -1, -1}})
-		if r := b.offer(1); b.sentTo(r) != 201 {
-			t.Errorf("%+v: the machine that replaces it gets nothing", e)
+		b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 201, ExchangeNumber: 1, Mode: Ready}}})
+		b.handle(Sampled{Switch: 201, Code: OK, Report: []float32{20, 60, -1, -1}})
+		if r := b.offer(1); b.attemptedSwitch(r) != 201 {
+			t.Errorf("%+v: the machine that replaces it gets no set-up", e)
 		}
 	}
 }
 
-// Rule 4: within any OverloadWindow a cold exchange gets less than this controller's share of the breaking budget.
-func TestColdIsNotPushedOver(t *testing.T) {
+// The rule on cold exchanges: within any OverloadWindow, an exchange that warms up gets fewer set-ups than this controller's
+// share of the load that would overload it.
+func TestWarmUpKeepsColdExchangeBelowOverload(t *testing.T) {
 	s := settings()
-	b := start(t, s)
-	// Ten calls a second stand over three far exchanges before the restart.
+	b := newBench(t, s)
+	// Before the restart ten calls a second are established, spread over three far exchanges.
 	for i := 0; i < 300; i++ {
 		r := b.offer(1 + i%3)
-		b.stand(r, uint32(101+i%3))
-		b.do(Outcome{Ref: r, Switch: uint32(101 + i%3), Code: OK, Final: true})
-		b.free(1+i%3, 30)
-		b.pass(100 * ms)
+		b.establish(r, uint32(101+i%3))
+		b.handle(Outcome{Ref: r, Switch: uint32(101 + i%3), Code: OK, Final: true})
+		b.reportFree(1+i%3, 30)
+		b.advance(100 * ms)
 	}
 	began := b.now
-	b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
-	before := len(b.sends[101])
+	b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
+	before := len(b.sentAt[101])
 	for b.now < began+s.Rules.WarmUp {
 		for i := 0; i < 5; i++ {
 			b.offer(1)
 		}
-		b.free(1, 30)
-		b.pass(20 * ms)
-		b.standAll()
+		b.reportFree(1, 30)
+		b.advance(20 * ms)
+		b.establishAll()
 	}
-	sent := b.sends[101][before:]
+	sent := b.sentAt[101][before:]
 	share := 10.0 / 3
 	for i, at := range sent {
-		n := 0
-		for _, x := range sent[i:] {
-			if x < at+s.Rules.OverloadWindow {
-				n++
+		count := 0
+		for _, other := range sent[i:] {
+			if other < at+s.Rules.OverloadWindow {
+				count++
 			}
 		}
-		part := s.Rules.WarmUpStart + (1-s.Rules.WarmUpStart)*(at-began).Seconds()/s.Rules.WarmUp.Seconds()
-		// One more for the phase and one for the ramp: as many come in as go out, so the whole budget is twice this.
-		if most := s.Rules.OverloadMultiple*share*part*s.Rules.OverloadWindow.Seconds() + 2; float64(n) > most {
-			t.Fatalf("%v after the start: %d set-ups within %v, budget %.1f", at-began, n, s.Rules.OverloadWindow, most)
+		capacityShare := s.Rules.WarmUpStart + (1-s.Rules.WarmUpStart)*(at-began).Seconds()/s.Rules.WarmUp.Seconds()
+		// One more for the random phase and one for the rise of the capacity. An exchange receives as many calls as it
+		// sends, so the whole budget is twice this.
+		if limit := s.Rules.OverloadMultiple*share*capacityShare*s.Rules.OverloadWindow.Seconds() + 2; float64(count) > limit {
+			t.Fatalf("%v after the start: %d set-ups within %v, limit %.1f", at-began, count, s.Rules.OverloadWindow, limit)
 		}
 	}
 	if len(sent) < 15 {
-		t.Errorf("only %d set-ups during the warm-up", len(sent))
+		t.Errorf("only %d set-ups during the warm-up, want 15 at least", len(sent))
 	}
 }
 
-// Rule 5: the release is awaited.
-func TestReleaseAwaited(t *testing.T) {
+// The rule on releases: after a failed attempt, the next one waits for the release delay.
+func TestReleaseDelayBeforeNextAttempt(t *testing.T) {
 	for _, code := range []Code{TimedOut, Reset, Cancelled} {
-		b := start(t, settings())
+		b := newBench(t, settings())
 		r := b.offer(1)
 		at := b.now
-		b.ends(r, 101, code, 0)
-		for b.tries[r] == 1 && b.now < at+time.Second {
-			b.pass(20 * ms)
+		b.endAttempt(r, 101, code, 0)
+		for b.attempts[r] == 1 && b.now < at+time.Second {
+			b.advance(20 * ms)
 		}
 		if b.now < at+200*ms {
-			t.Errorf("%d: sent again after %v", code, b.now-at)
+			t.Errorf("code %d: sent again after %v", code, b.now-at)
 		}
 	}
 }
 
-// The sum over a large fleet is bounded too, whatever has stood here, and T follows the ramp of a thin stream.
-func TestColdPaceInALargeFleet(t *testing.T) {
+// With many controllers their sum stays below the overload of a cold exchange too, though no call was established here
+// before. The interval T of such a stream of few calls follows the rise of the capacity.
+func TestWarmUpWithManyControllers(t *testing.T) {
 	s := settings()
 	s.Replicas = 92
-	b := start(t, s)
+	b := newBench(t, s)
 	began := b.now
-	b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
-	first := b.c.places[1].gap.every
+	b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
+	first := b.controller.exchanges[1].gap.interval
 	sum := float64(s.Replicas-1) / first.Seconds() // set-ups a second from all far controllers
-	if most := s.Rules.OverloadMultiple * s.Rules.WarmUpStart * 1.1; sum > most {
-		t.Errorf("%.1f set-ups a second from all, want %.1f at most where one a second is known to stand", sum, most)
+	if limit := s.Rules.OverloadMultiple * s.Rules.WarmUpStart * 1.1; sum > limit {
+		t.Errorf("%.1f set-ups a second from all, want %.1f at most where one a second is known to be established", sum, limit)
 	}
 	b.now = began + s.Rules.WarmUp/2
-	b.pass(20 * ms)
-	if now := b.c.places[1].gap.every; now > first*2/3 {
-		t.Errorf("T %v half way up the ramp, %v at its start", now, first)
+	b.advance(20 * ms)
+	if now := b.controller.exchanges[1].gap.interval; now > first*2/3 {
+		t.Errorf("T %v half way through the warm-up, %v at its start", now, first)
 	}
 }
 
-// A hung processor sends no refusals: missing answers close the stream to single trial calls.
-func TestSilenceLeavesTrialCalls(t *testing.T) {
-	b := start(t, settings())
+// A hung processor sends no refusals. Missing answers limit the stream to single trial calls.
+func TestUnresponsiveExchangeGetsTrialCalls(t *testing.T) {
+	b := newBench(t, settings())
 	for i := 0; i < 300; i++ { // 30 s, ten calls a second, no answer at all
 		b.offer(1)
-		b.pass(100 * ms)
-		for ref, k := range b.c.calls {
-			if k.out && b.now >= k.deadline {
-				b.ends(ref, b.to[ref], TimedOut, 0)
+		b.advance(100 * ms)
+		for ref, call := range b.controller.calls {
+			if call.attemptPending && b.now >= call.deadline {
+				b.endAttempt(ref, b.lastSwitch[ref], TimedOut, 0)
 			}
 		}
 	}
 	sent := 0
-	for _, at := range b.sends[101] {
+	for _, at := range b.sentAt[101] {
 		if at > time.Hour+5*time.Second {
 			sent++
 		}
 	}
-	if !b.c.places[1].silent || sent > 25 {
-		t.Errorf("silent %v, %d set-ups in 25 s", b.c.places[1].silent, sent)
+	if !b.controller.exchanges[1].unresponsive || sent > 25 {
+		t.Errorf("unresponsive %v, %d set-ups in 25 s", b.controller.exchanges[1].unresponsive, sent)
 	}
-	if b.c.places[1].gap.bank > gain {
-		t.Error("a bank builds up while it is silent")
+	if b.controller.exchanges[1].gap.bank > gainPerInterval {
+		t.Error("grants are banked while it is unresponsive")
 	}
-	b.do(Sampled{Switch: 101, Code: OK, Report: []float32{30, 60, -1, -1}})
-	for ref, k := range b.c.calls {
-		if k.out && b.to[ref] == 101 {
-			b.stand(ref, 101)
+	b.handle(Sampled{Switch: 101, Code: OK, Report: []float32{30, 60, -1, -1}})
+	for ref, call := range b.controller.calls {
+		if call.attemptPending && b.lastSwitch[ref] == 101 {
+			b.establish(ref, 101)
 			break
 		}
 	}
-	if b.c.places[1].silent {
-		t.Error("an answer does not end the suspicion")
+	if b.controller.exchanges[1].unresponsive {
+		t.Error("still unresponsive after an answer")
 	}
 }
 
-// A crashed processor resets each set-up at once: that is silence too.
-func TestResetsAreMissingAnswers(t *testing.T) {
-	b := start(t, settings())
+// A crashed processor resets each set-up at once. Resets count as missing answers.
+func TestResetsCountAsMissingAnswers(t *testing.T) {
+	b := newBench(t, settings())
 	for i := 0; i < 2; i++ {
 		b.now += 10 * ms
 		r := b.offer(1)
 		b.now += 10 * ms
-		b.ends(r, 101, Reset, 0)
+		b.endAttempt(r, 101, Reset, 0)
 	}
-	if !b.c.places[1].silent {
-		t.Error("two resets in a row are not taken for silence")
+	if !b.controller.exchanges[1].unresponsive {
+		t.Error("not unresponsive after two resets in a row")
 	}
-	b = start(t, settings())
+	b = newBench(t, settings())
 	r := b.offer(1)
-	b.stand(r, 101)
-	b.do(Outcome{Ref: r, Switch: 101, Code: Reset, Final: true})
-	if b.c.places[1].bad != 0 {
-		t.Error("a cut of a standing call counts against the processor")
+	b.establish(r, 101)
+	b.handle(Outcome{Ref: r, Switch: 101, Code: Reset, Final: true})
+	if b.controller.exchanges[1].failures != 0 {
+		t.Error("the reset of an established call counts as a failed set-up")
 	}
 }
 
-// With the own processor down a call keeps its tries, and is sent once it is back.
-func TestOwnProcessorDown(t *testing.T) {
-	b := start(t, settings())
-	b.ends(b.offer(1), 101, NotAttempted, NoteProcessor)
+// While the local processor is down a call keeps its attempts, and it is sent when the processor is back.
+func TestLocalProcessorDown(t *testing.T) {
+	b := newBench(t, settings())
+	b.endAttempt(b.offer(1), 101, NotAttempted, NoteProcessor)
 	r := b.offer(1)
-	b.pass(200 * ms)
-	if b.tries[r] != 0 {
-		t.Fatalf("%d tries into a processor that is down", b.tries[r])
+	b.advance(200 * ms)
+	if b.attempts[r] != 0 {
+		t.Fatalf("%d attempts while the local processor is down", b.attempts[r])
 	}
 	for i := 0; i < 100; i++ {
-		b.pass(20 * ms)
-		b.standAll()
+		b.advance(20 * ms)
+		b.establishAll()
 	}
-	if b.c.own.silent || b.tries[r] != 1 {
-		t.Errorf("own processor silent %v, %d tries after its return", b.c.own.silent, b.tries[r])
+	if b.controller.local.unresponsive || b.attempts[r] != 1 {
+		t.Errorf("local processor unresponsive %v, %d attempts after its return", b.controller.local.unresponsive, b.attempts[r])
 	}
 }
 
-// Where the list must be asked for, a failed call is asked again, and the look-round goes on but once.
+// Where the list must be requested, a failed request is repeated, and its timer does not start the controller's tick a
+// second time.
 func TestDiscoveryOnRequest(t *testing.T) {
 	s := settings()
 	s.Discovery = "on_request"
-	b := start(t, s)
-	acts := b.do(Topology{Kind: ListFailed})
-	asked, timers := false, 0
+	b := newBench(t, s)
+	acts := b.handle(Topology{Kind: ListFailed})
+	requested, timers := false, 0
 	for _, a := range acts {
 		if w, ok := a.(Schedule); ok && w.Handle == 2 {
-			asked = true
+			requested = true
 		}
 	}
-	if !asked {
-		t.Fatal("a failed call is not asked again later")
+	if !requested {
+		t.Fatal("a failed request is not repeated later")
 	}
-	asked = false
-	for _, a := range b.do(TickDue{Handle: 2}) {
+	requested = false
+	for _, a := range b.handle(TickDue{Handle: 2}) {
 		switch a.(type) {
 		case StreamChanges:
-			asked = true
+			requested = true
 		case Schedule:
 			timers++
 		}
 	}
-	if !asked || timers != 0 {
-		t.Errorf("asked %v, %d more timers", asked, timers)
+	if !requested || timers != 0 {
+		t.Errorf("requested %v, %d more timers", requested, timers)
 	}
 }
 
-// After silence a stream starts at the spacing it had before the trouble, not at that of its trial calls.
-func TestRecoveryAtEarlierSpacing(t *testing.T) {
-	b := start(t, settings())
+// When an unresponsive exchange recovers, set-ups restart at the interval that they had before the failure, not at that of
+// the trial calls.
+func TestRecoveryAtEarlierInterval(t *testing.T) {
+	b := newBench(t, settings())
 	for i := 0; i < 100; i++ {
 		b.offer(1)
-		b.standAll()
-		b.pass(100 * ms)
-		b.free(1, 30)
+		b.establishAll()
+		b.advance(100 * ms)
+		b.reportFree(1, 30)
 	}
 	for i := 0; i < 100; i++ {
 		b.offer(1)
-		b.pass(100 * ms)
-		b.free(1, 30)
-		for ref, k := range b.c.calls {
-			if k.out && !k.stands && b.now >= k.sentAt+1500*ms {
-				b.ends(ref, b.to[ref], TimedOut, 0)
+		b.advance(100 * ms)
+		b.reportFree(1, 30)
+		for ref, call := range b.controller.calls {
+			if call.attemptPending && !call.established && b.now >= call.sentAt+1500*ms {
+				b.endAttempt(ref, b.lastSwitch[ref], TimedOut, 0)
 			}
 		}
 	}
-	if !b.c.places[1].silent {
-		t.Fatal("not silent")
+	if !b.controller.exchanges[1].unresponsive {
+		t.Fatal("not unresponsive after set-ups without an answer")
 	}
-	b.standAll()
-	if b.c.places[1].silent || b.c.places[1].gap.every > defaultGap {
-		t.Errorf("silent %v, T %v after the return", b.c.places[1].silent, b.c.places[1].gap.every)
+	b.establishAll()
+	if b.controller.exchanges[1].unresponsive || b.controller.exchanges[1].gap.interval > maxAdjustInterval {
+		t.Errorf("unresponsive %v, T %v after the recovery", b.controller.exchanges[1].unresponsive,
+			b.controller.exchanges[1].gap.interval)
 	}
 }
 
-// Redials are past their aim: never held, and refused at source towards a pressed exchange.
+// Redials are past their answer target: they are never held. Where callers do not flag redials, they are recognised by the
+// called number.
 func TestRedialsAreNotHeld(t *testing.T) {
 	redial := func(o *Offer) { o.Flags = FlagRedial }
-	b := start(t, settings())
-	b.free(1, 0)
-	b.free(2, 0)
-	b.free(3, 0)
-	if r := b.offer(1, redial); b.final[r] == nil {
-		t.Error("a redial without a circuit is held")
+	b := newBench(t, settings())
+	b.reportFree(1, 0)
+	b.reportFree(2, 0)
+	b.reportFree(3, 0)
+	if r := b.offer(1, redial); b.answers[r] == nil {
+		t.Error("a redial is held for a circuit")
 	}
 	s := settings()
 	s.MarksRedial = false
-	b = start(t, s)
+	b = newBench(t, s)
 	for p := 1; p < 4; p++ {
-		b.free(p, 0)
+		b.reportFree(p, 0)
 	}
-	same := func(o *Offer) { o.Number = 77 }
-	b.offer(1, same)
-	b.pass(2 * time.Second)
-	if r := b.offer(1, same); b.final[r] == nil {
-		t.Error("an unmarked redial is not known by its number")
+	sameNumber := func(o *Offer) { o.Number = 77 }
+	b.offer(1, sameNumber)
+	b.advance(2 * time.Second)
+	if r := b.offer(1, sameNumber); b.answers[r] == nil {
+		t.Error("a redial without a flag is not recognised by its number")
 	}
-	b.pass(20 * time.Second)
-	if len(b.c.numbers) != 0 {
-		t.Error("refused numbers are not forgotten")
+	b.advance(20 * time.Second)
+	if len(b.controller.numbers) != 0 {
+		t.Error("numbers of refused calls are not forgotten")
 	}
 }
 
-// A waiting wide call must not lose every freed circuit to narrower, lesser ones.
+// Without a claim on free circuits, a held call that needs several would lose each one that becomes free to narrower calls
+// of lower priority.
 func TestWideCallClaimsCircuits(t *testing.T) {
 	s := settings()
 	s.ScoreWeights.WorstClass = 0.9
-	b := start(t, s)
+	b := newBench(t, s)
 	for p := 1; p < 4; p++ {
-		b.free(p, 0)
+		b.reportFree(p, 0)
 	}
-	b.c.served[1] = 0 // the wide class is the worst served
+	b.controller.servedByClass[1] = 0 // the wide class is served worst
 	wide := b.offer(1, func(o *Offer) { o.Class, o.Width = 1, 4 })
 	narrow := b.offer(1)
-	b.free(1, 2)
-	if b.tries[narrow] != 0 {
-		t.Error("a narrow call took the circuits that the wide one waits for")
+	b.reportFree(1, 2)
+	if b.attempts[narrow] != 0 {
+		t.Error("a narrow call took circuits that the wide one claims")
 	}
-	b.free(1, 4)
-	if b.tries[wide] != 1 {
+	b.reportFree(1, 4)
+	if b.attempts[wide] != 1 {
 		t.Error("the wide call was not sent")
 	}
 }
 
-func TestUnsafeClassesAreNotRepeated(t *testing.T) {
+// A call whose attempt may have taken effect is repeated only if its class has the repeat policy "free".
+func TestOnlyFreeClassesAreRepeated(t *testing.T) {
 	for _, repeat := range []string{"single_shot", "guarded", ""} {
 		s := settings()
 		s.Classes[0].RepeatPolicy = repeat
-		b := start(t, s)
+		b := newBench(t, s)
 		r := b.offer(1)
-		b.ends(r, 101, TimedOut, 0)
-		b.pass(3 * time.Second)
-		if _, ok := b.final[r].(GiveUp); !ok || b.tries[r] != 1 {
-			t.Errorf("%s: %d tries, then %T", repeat, b.tries[r], b.final[r])
+		b.endAttempt(r, 101, TimedOut, 0)
+		b.advance(3 * time.Second)
+		if _, ok := b.answers[r].(GiveUp); !ok || b.attempts[r] != 1 {
+			t.Errorf("%s: %d attempts, then %T", repeat, b.attempts[r], b.answers[r])
 		}
 	}
 }
 
-// False information must do no lasting harm: reports that are absent, stuck or senseless.
-func TestWrongReports(t *testing.T) {
+// Reports that are absent, stale or invalid must not do lasting harm.
+func TestInvalidReports(t *testing.T) {
 	nan := float32(0)
 	nan /= nan
 	for _, r := range [][]float32{nil, {5}, {nan, nan, nan, nan}, {30, 60, -1, -1}, {-1, -1, -1, -1}} {
-		b := start(t, settings())
-		b.do(Sampled{Switch: 101, Code: OK, Took: ms, Report: r})
-		b.pass(100 * ms)
-		if r := b.offer(1); b.tries[r] != 1 {
-			t.Errorf("report %v stops an unpressed stream", r)
+		b := newBench(t, settings())
+		b.handle(Sampled{Switch: 101, Code: OK, Took: ms, Report: r})
+		b.advance(100 * ms)
+		if r := b.offer(1); b.attempts[r] != 1 {
+			t.Errorf("report %v stops set-ups though there is no overload", r)
 		}
 	}
-	b := start(t, settings())
-	b.do(Sampled{Switch: 101, Code: OK, Took: ms, Report: []float32{30, 60, 9000, 1}})
-	b.pass(30 * time.Second)
-	if b.c.places[1].gap.open {
-		t.Error("one stale report holds a gap open for ever")
+	b := newBench(t, settings())
+	b.handle(Sampled{Switch: 101, Code: OK, Took: ms, Report: []float32{30, 60, 9000, 1}})
+	b.advance(30 * time.Second)
+	if b.controller.exchanges[1].gap.active {
+		t.Error("one stale report keeps a gap active for ever")
 	}
 }
 
-func TestOddSettings(t *testing.T) {
-	c := New(Settings{}, 1)
+// Empty settings and events about unknown calls and exchanges must not make the controller panic.
+func TestEmptySettingsAndUnknownEvents(t *testing.T) {
+	controller := New(Settings{}, 1)
 	now := time.Duration(0)
 	for _, e := range []Event{
 		Offer{Ref: 1, Class: 9, Dest: 5, Via: -1}, Topology{Kind: ListFull}, Topology{Kind: ListFailed},
@@ -703,25 +718,25 @@
 		Topology{Entries: []Entry{{Switch: 1, ExchangeNumber: 5, Mode: Ready, OnlineSince: 1}}}, Offer{Ref: 3, Dest: 5},
 	} {
 		now += 5 * ms
-		c.Handle(now, e, nil)
+		controller.Handle(now, e, nil)
 	}
 }
 
-// Same events, same actions.
+// The same events and seed give the same actions.
 func TestDeterministic(t *testing.T) {
 	play := func() []Action {
-		b := start(t, settings())
+		b := newBench(t, settings())
 		var all []Action
 		for i := 0; i < 400; i++ {
 			r := b.offer(1+i%3, func(o *Offer) { o.Number = uint64(i % 7) })
 			if i%5 == 0 {
-				b.free(1+i%3, float32(i%4))
+				b.reportFree(1+i%3, float32(i%4))
 			}
-			if b.tries[r] > 0 {
-				b.ends(r, uint32(101+i%3), []Code{Full, Failed, TimedOut, OK}[i%4], uint32(i%5))
+			if b.attempts[r] > 0 {
+				b.endAttempt(r, uint32(101+i%3), []Code{Full, Failed, TimedOut, OK}[i%4], uint32(i%5))
 			}
-			b.pass(20 * ms)
-			all = append(all, b.acts...)
+			b.advance(20 * ms)
+			all = append(all, b.actions...)
 		}
 		return all
 	}
@@ -730,41 +745,45 @@
 	}
 }
 
-// FuzzHandle: no order of events may make the module panic or break a rule that the bench type checks.
+// FuzzHandle checks that no order of events makes the controller panic, breaks a rule that testBench checks, or sends an
+// attempt of an unknown call.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7})
 	f.Add([]byte{0, 0, 0, 33, 2, 9, 2, 18, 6, 6, 5, 0, 12, 1, 250, 251})
-	f.Add([]byte("10002020")) // a call told to stand twice
+	f.Add([]byte("10002020")) // a call reported as established twice
 	f.Fuzz(func(t *testing.T, in []byte) {
-		b := start(t, settings())
+		b := newBench(t, settings())
 		for i := 0; i+1 < len(in); i += 2 {
-			x, y := in[i], in[i+1]
-			ref := uint32(y%16) + 1
-			place := 1 + int(y)%3
-			switch x % 7 {
+			kind, value := in[i], in[i+1]
+			ref := uint32(value%16) + 1
+			number := 1 + int(value)%3
+			switch kind % 7 {
 			case 0:
-				b.offer(int(y)%5, func(o *Offer) { o.Class, o.Number, o.Flags = int(y)%3, uint64(y%4), x&26 })
+				b.offer(int(value)%5, func(o *Offer) { o.Class, o.Number, o.Flags = int(value)%3, uint64(value%4), kind&26 })
 			case 1:
-				b.stand(ref, uint32(100+place))
+				b.establish(ref, uint32(100+number))
 			case 2:
 				codes := []Code{OK, Cancelled, NotAttempted, Failed, ConnectFailed, Full, TimedOut, Reset}
-				if k := b.c.calls[ref]; k != nil && k.out {
-					b.do(Outcome{Ref: ref, Switch: k.to0(place), Code: codes[x/7%8], Note: uint32(y % 32), Final: k.stands})
+				if call := b.controller.calls[ref]; call != nil && call.attemptPending {
+					b.handle(Outcome{Ref: ref, Switch: call.pendingSwitch(number), Code: codes[kind/7%8],
+						Note: uint32(value % 32), Final: call.established})
 				} else {
-					b.do(Outcome{Ref: ref, Switch: uint32(100 + place), Code: codes[x/7%8], Note: uint32(y % 32), Final: true})
+					b.handle(Outcome{Ref: ref, Switch: uint32(100 + number), Code: codes[kind/7%8],
+						Note: uint32(value % 32), Final: true})
 				}
 			case 3:
-				b.free(place, float32(int(y)-8))
+				b.reportFree(number, float32(int(value)-8))
 			case 4:
-				b.do(Withdrawn{Ref: ref})
+				b.handle(Withdrawn{Ref: ref})
 			case 5:
-				b.do(Topology{Kind: ListKind(x / 7 % 4), Entries: []Entry{{Switch: uint32(100 + place + int(y)/128*100),
-					ExchangeNumber: place, Mode: Mode(y % 3), OnlineSince: b.now * time.Duration(y&1)}}})
+				b.handle(Topology{Kind: ListKind(kind / 7 % 4), Entries: []Entry{{
+					Switch:         uint32(100 + number + int(value)/128*100),
+					ExchangeNumber: number, Mode: Mode(value % 3), OnlineSince: b.now * time.Duration(value&1)}}})
 			case 6:
-				b.pass(time.Duration(y) * 4 * ms)
+				b.advance(time.Duration(value) * 4 * ms)
 			}
-			for _, a := range b.acts {
-				if s, ok := a.(Attempt); ok && b.c.calls[s.Ref] == nil {
+			for _, a := range b.actions {
+				if s, ok := a.(Attempt); ok && b.controller.calls[s.Ref] == nil {
 					t.Fatalf("attempt for unknown call %d", s.Ref)
 				}
 			}
@@ -772,614 +791,629 @@
 	})
 }
 
-// to0 is the switch of the attempt that is out.
-func (k *call) to0(place int) uint32 {
-	if k.to != nil {
-		return k.to.id
+// pendingSwitch is the switch of the pending attempt, or that of the given exchange if there is none.
+func (call *call) pendingSwitch(number int) uint32 {
+	if call.nextHop != nil {
+		return call.nextHop.switchID
 	}
-	return uint32(100 + place)
+	return uint32(100 + number)
 }
 
-// A pair told to have no group: a direct set-up would only burn tries, and no wait brings it a circuit.
-func TestPairWithoutGroupGoesRoundAtOnce(t *testing.T) {
-	b := start(t, settings())
-	b.do(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
-	if r := b.offer(1); b.tries[r] != 1 || b.sentTo(r) == 101 {
-		t.Errorf("%d tries, the last to %d, want one over a tandem at once", b.tries[r], b.sentTo(r))
-	}
-	b.c.places[1].size = -1 // not told at all: the direct route is tried
-	if r := b.offer(1); b.sentTo(r) != 101 {
-		t.Error("a group not told of is taken for none")
+// Between exchanges without a direct group a call goes over a tandem at once: a direct set-up would only use up attempts, and
+// no circuit can become free. If the size of the group was not reported, the direct route is tried.
+func TestNoDirectGroupUsesTandemAtOnce(t *testing.T) {
+	b := newBench(t, settings())
+	b.handle(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
+	if r := b.offer(1); b.attempts[r] != 1 || b.attemptedSwitch(r) == 101 {
+		t.Errorf("%d attempts, the last to %d, want one over a tandem at once", b.attempts[r], b.attemptedSwitch(r))
+	}
+	b.controller.exchanges[1].groupSize = -1 // not reported
+	if r := b.offer(1); b.attemptedSwitch(r) != 101 {
+		t.Error("a group whose size is not reported is taken for missing")
 	}
 }
 
-// Probes go where they are needed, to exchanges used or pressed, and the sum over all controllers at one exchange is
-// bounded: to the whole fleet each second they would grow with its square.
-func TestProbesByNeed(t *testing.T) {
-	for _, c := range []struct{ replicas, least, most int }{{4, 8, 13}, {90, 1, 2}} {
+// Load probes go only to exchanges that are used or overloaded, and the sum of the probes of all controllers at one exchange
+// is bounded. If every controller probed every exchange each second, the probes would grow with the square of their number.
+func TestProbesOnlyWhereNeeded(t *testing.T) {
+	for _, test := range []struct{ replicas, low, high int }{{4, 8, 13}, {90, 1, 2}} {
 		s := settings()
-		s.Probes, s.ReportHow, s.Replicas = true, "on_probe", c.replicas
-		b := start(t, s)
-		b.c.press(b.c.places[3], false)
-		asked := map[uint32]int{}
+		s.Probes, s.ReportHow, s.Replicas = true, "on_probe", test.replicas
+		b := newBench(t, s)
+		b.controller.markOverloaded(b.controller.exchanges[3], false)
+		probes := map[uint32]int{}
 		for i := 0; i < 500; i++ {
-			b.pass(20 * ms)
-			for _, a := range b.acts {
+			b.advance(20 * ms)
+			for _, a := range b.actions {
 				if p, ok := a.(AskLoad); ok {
-					asked[p.Switch]++
-					b.do(Sampled{Switch: p.Switch, Code: OK, Took: ms, Report: []float32{30, 60, 9000, -1}})
-					b.c.press(b.c.places[3], false)
+					probes[p.Switch]++
+					b.handle(Sampled{Switch: p.Switch, Code: OK, Took: ms, Report: []float32{30, 60, 9000, -1}})
+					b.controller.markOverloaded(b.controller.exchanges[3], false)
 				}
 			}
 		}
-		if n := asked[103]; asked[101] != 0 || n < c.least || n > c.most {
-			t.Errorf("%d controllers: probes by exchange in 10 s %v, want %d to %d of a pressed one", c.replicas, asked,
-				c.least, c.most)
+		if n := probes[103]; probes[101] != 0 || n < test.low || n > test.high {
+			t.Errorf("%d controllers: probes by switch in 10 s %v, want %d to %d of the overloaded one", test.replicas, probes,
+				test.low, test.high)
 		}
 	}
 }
 
-// One lost answer, or callers in a hurry whose set-ups time out before the aim, are no silence, or on a thin
-// stream each would shut it; two time-outs past the aim without an answer between are.
-func TestLostAnswersAndHurryAreNotSilence(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		ttl    time.Duration
-		times  int
-		answer bool
-		silent bool
-	}{{"hurry", 300 * ms, 5, false, false}, {"one lost", 3 * time.Second, 1, false, false},
-		{"lost now and then", 3 * time.Second, 3, true, false}, {"hung", 3 * time.Second, 2, false, true}} {
-		b := start(t, settings())
-		for i := 0; i < c.times; i++ {
-			r := b.offer(1, func(o *Offer) { o.TimeLeft = c.ttl })
-			if b.tries[r] == 0 {
-				b.pass(time.Second)
+// One lost answer, or set-ups that time out before the answer target since their callers have little time left, do not make
+// an exchange unresponsive; otherwise each would block a stream of few calls. Two timeouts past the answer target without an
+// answer in between do.
+func TestLostAnswersAndEarlyTimeouts(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		timeLeft     time.Duration
+		times        int
+		answer       bool
+		unresponsive bool
+	}{{"callers with little time", 300 * ms, 5, false, false}, {"one lost answer", 3 * time.Second, 1, false, false},
+		{"lost answers with others in between", 3 * time.Second, 3, true, false},
+		{"hung exchange", 3 * time.Second, 2, false, true}} {
+		b := newBench(t, settings())
+		for i := 0; i < test.times; i++ {
+			r := b.offer(1, func(o *Offer) { o.TimeLeft = test.timeLeft })
+			if b.attempts[r] == 0 {
+				b.advance(time.Second)
 			}
-			b.now += c.ttl
-			if c.answer {
-				b.c.hear(b.c.places[1])
+			b.now += test.timeLeft
+			if test.answer {
+				b.controller.markAnswered(b.controller.exchanges[1])
 			}
-			b.ends(r, 101, TimedOut, 0)
+			b.endAttempt(r, 101, TimedOut, 0)
 		}
-		if b.c.places[1].silent != c.silent {
-			t.Errorf("%s: silent %v", c.name, !c.silent)
+		if b.controller.exchanges[1].unresponsive != test.unresponsive {
+			t.Errorf("%s: unresponsive %v", test.name, !test.unresponsive)
 		}
 	}
 }
 
-// Where tandems mostly turn calls back, further tries only load processors; they come back as tandems work again.
-func TestFewerTandemTriesWhenTurnedBack(t *testing.T) {
-	b := start(t, settings())
-	b.do(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
-	tries := func() int {
-		b.c.places[1].blocked = map[int]time.Duration{}
+// Where most tandems return calls, further attempts only load processors, so fewer are made. After some time without
+// returned calls the attempts are made again.
+func TestFewerTandemAttemptsAfterCrankback(t *testing.T) {
+	b := newBench(t, settings())
+	b.handle(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
+	attemptsOfCall := func() int {
+		b.controller.exchanges[1].avoidTandemUntil = map[int]time.Duration{}
 		r := b.offer(1)
-		for sw := b.sentTo(r); sw != 0 && b.final[r] == nil; sw = b.sentTo(r) {
-			b.free(int(sw-100), 30)
-			b.acts = nil
-			b.ends(r, sw, Full, NoteCrankback)
+		for switchID := b.attemptedSwitch(r); switchID != 0 && b.answers[r] == nil; switchID = b.attemptedSwitch(r) {
+			b.reportFree(int(switchID-100), 30)
+			b.actions = nil
+			b.endAttempt(r, switchID, Full, NoteCrankback)
 		}
-		b.pass(3 * time.Second)
-		return b.tries[r]
+		b.advance(3 * time.Second)
+		return b.attempts[r]
 	}
-	if n := tries(); n != 2 {
-		t.Fatalf("%d tries over two tandems, want both", n)
+	if n := attemptsOfCall(); n != 2 {
+		t.Fatalf("%d attempts with two tandems, want both", n)
 	}
-	b.c.round = [3]float64{0.4, 1, 1}
-	if n := tries(); n != 1 {
-		t.Errorf("%d tries where two in five stand, want one", n)
+	b.controller.tandemSuccess = [3]float64{0.4, 1, 1}
+	if n := attemptsOfCall(); n != 1 {
+		t.Errorf("%d attempts where two in five succeed, want one", n)
 	}
-	b.c.round[0] = 0
-	b.c.places[1].blocked = map[int]time.Duration{}
+	b.controller.tandemSuccess[0] = 0
+	b.controller.exchanges[1].avoidTandemUntil = map[int]time.Duration{}
 	r := b.offer(1, func(o *Offer) { o.Via = 2 })
-	if b.sentTo(r) != 102 {
-		t.Error("an advised tandem suffers for those drawn")
+	if b.attemptedSwitch(r) != 102 {
+		t.Error("an advised tandem is not used since others return calls")
 	}
-	b.standAll()
-	b.pass(80 * time.Second)
-	if n := tries(); n != 2 {
-		t.Errorf("%d tries after a quiet spell, want both", n)
+	b.establishAll()
+	b.advance(80 * time.Second)
+	if n := attemptsOfCall(); n != 2 {
+		t.Errorf("%d attempts after 80 s without returned calls, want both", n)
 	}
 }
 
-// A jammed own processor: while nothing stands anywhere, what is sent only prolongs the jam.
-func TestOwnJamLeavesTrialCalls(t *testing.T) {
-	b := start(t, settings())
+// While the local processor is overloaded no call is established anywhere, and further set-ups only prolong the overload. So
+// only trial calls are sent.
+func TestLocalOverloadLeavesTrialCalls(t *testing.T) {
+	b := newBench(t, settings())
 	for i := 0; i < 100; i++ {
 		r := b.offer(1 + i%3)
 		for p := 1; p < 4; p++ {
-			b.c.places[p].gap = gap{} // the far streams alone would let it through
+			b.controller.exchanges[p].gap = gap{} // the gaps of the far exchanges must not do it
 		}
-		if b.tries[r] > 0 {
-			b.ends(r, b.to[r], Full, NoteProcessor)
+		if b.attempts[r] > 0 {
+			b.endAttempt(r, b.lastSwitch[r], Full, NoteProcessor)
 		}
-		b.pass(100 * ms)
+		b.advance(100 * ms)
 	}
 	sent := 0
-	for _, at := range append(append(b.sends[101], b.sends[102]...), b.sends[103]...) {
+	for _, at := range append(append(b.sentAt[101], b.sentAt[102]...), b.sentAt[103]...) {
 		if at > b.now-5*time.Second {
 			sent++
 		}
 	}
-	if !b.c.own.silent || sent > 6 {
-		t.Errorf("own stream silent %v, %d set-ups in the last 5 s, want trial calls", b.c.own.silent, sent)
+	if !b.controller.local.unresponsive || sent > 6 {
+		t.Errorf("local processor unresponsive %v, %d set-ups in the last 5 s, want trial calls",
+			b.controller.local.unresponsive, sent)
 	}
 	r := b.offer(1)
-	for b.sentTo(r) == 0 && b.final[r] == nil {
-		b.pass(20 * ms)
+	for b.attemptedSwitch(r) == 0 && b.answers[r] == nil {
+		b.advance(20 * ms)
 	}
-	b.standAll()
-	if b.tries[r] > 0 && b.c.own.silent {
-		t.Error("a call that stands does not end it")
+	b.establishAll()
+	if b.attempts[r] > 0 && b.controller.local.unresponsive {
+		t.Error("still unresponsive after a call was established")
 	}
 }
 
-// A set-up is given up when the call's aim has passed: a jammed processor must not work through late ones.
-func TestSetUpsAreGivenUpAtTheAim(t *testing.T) {
-	b := start(t, settings())
-	b.free(1, 0)
+// An attempt times out at the call's answer target, so that an overloaded processor does not work through set-ups that are
+// too late.
+func TestAttemptTimesOutAtAnswerTarget(t *testing.T) {
+	b := newBench(t, settings())
+	b.reportFree(1, 0)
 	r := b.offer(1)
-	b.pass(200 * ms)
-	b.free(1, 5)
+	b.advance(200 * ms)
+	b.reportFree(1, 5)
 	late := b.offer(1, func(o *Offer) { o.Flags = FlagRedial })
 	for ref, want := range map[uint32]time.Duration{r: 1300 * ms, late: 1500 * ms} {
-		if b.tries[ref] != 1 {
-			t.Fatalf("call %d: %d tries", ref, b.tries[ref])
+		if b.attempts[ref] != 1 {
+			t.Fatalf("call %d: %d attempts", ref, b.attempts[ref])
 		}
-		if got := b.wait[ref]; got != want {
-			t.Errorf("call %d is waited for %v, want %v", ref, got, want)
+		if got := b.timeouts[ref]; got != want {
+			t.Errorf("call %d: timeout %v, want %v", ref, got, want)
 		}
 	}
 }
 
-// While set-ups wait at the own processor nothing goes round: a third processor's work is for calls that go direct.
-func TestNoWayRoundWhileTheOwnProcessorWaits(t *testing.T) {
-	for _, c := range []struct {
-		took  time.Duration
-		tries int
+// While set-ups wait at the local processor no call goes over a tandem: the work of a third processor is left to calls that
+// go direct.
+func TestNoTandemWhileLocalProcessorIsSlow(t *testing.T) {
+	for _, test := range []struct {
+		took     time.Duration
+		attempts int
 	}{{50 * ms, 1}, {600 * ms, 0}} {
-		b := start(t, settings())
+		b := newBench(t, settings())
 		for i := 0; i < 12; i++ {
 			took := 50 * ms
 			if i >= 4 {
-				took = c.took
+				took = test.took
 			}
 			if i == 4 {
-				b.pass(5 * time.Second)
+				b.advance(5 * time.Second)
 			}
-			b.do(Flowing{Ref: b.offer(2 + i%2), Switch: uint32(102 + i%2), Took: took})
+			b.handle(Flowing{Ref: b.offer(2 + i%2), Switch: uint32(102 + i%2), Took: took})
 		}
-		b.pass(20 * ms)
-		b.do(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
-		b.c.round[0] = 0.5
-		if r := b.offer(1); b.tries[r] != c.tries {
-			t.Errorf("answers after %v: %d tries round, want %d", c.took, b.tries[r], c.tries)
+		b.advance(20 * ms)
+		b.handle(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
+		b.controller.tandemSuccess[0] = 0.5
+		if r := b.offer(1); b.attempts[r] != test.attempts {
+			t.Errorf("answers after %v: %d attempts over a tandem, want %d", test.took, b.attempts[r], test.attempts)
 		}
 	}
 }
 
-// The own processor's wait is read from whatever set-ups end, not from answers alone: in a jam there are few. And
-// work itself, at a small exchange's slow processor, is no wait.
-func TestOwnJamIsReadFromSetUpsThatTimeOut(t *testing.T) {
+// The wait at the local processor is measured from all set-ups that end, timeouts too, not from answers alone: under overload
+// there are few answers. The work itself, at a small exchange's slow processor, does not count as waiting.
+func TestLocalOverloadIsDetectedFromTimeouts(t *testing.T) {
 	s := settings()
-	s.ResendInterval = 500 * ms // pressure is a quarter of a second
-	b := start(t, s)
+	s.ResendInterval = 500 * ms // so a wait of a quarter of a second means overload
+	b := newBench(t, s)
 	for i := 0; i < 12; i++ {
 		r := b.offer(1 + i%3)
-		b.pass(300 * ms)
-		b.do(Flowing{Ref: r, Switch: uint32(101 + i%3), Took: 300 * ms})
+		b.advance(300 * ms)
+		b.handle(Flowing{Ref: r, Switch: uint32(101 + i%3), Took: 300 * ms})
 	}
-	for p, x := range b.c.places {
-		if x.gap.open {
-			t.Errorf("exchange %d: gapped though it only works slowly", p)
+	for number, exchange := range b.controller.exchanges {
+		if exchange.gap.active {
+			t.Errorf("exchange %d: gapped though it only works slowly", number)
 		}
 	}
 	for i := 0; i < 12; i++ {
 		r := b.offer(1 + i%3)
-		b.pass(1500 * ms)
-		if b.tries[r] == 1 && b.final[r] == nil {
-			b.do(Outcome{Ref: r, Switch: b.to[r], Code: TimedOut, Took: 1500 * ms})
+		b.advance(1500 * ms)
+		if b.attempts[r] == 1 && b.answers[r] == nil {
+			b.handle(Outcome{Ref: r, Switch: b.lastSwitch[r], Code: TimedOut, Took: 1500 * ms})
 		}
 	}
-	if !b.c.own.gap.open {
-		t.Error("all set-ups time out: the own gap should be open")
+	if !b.controller.local.gap.active {
+		t.Error("all set-ups time out, but the local gap is not active")
 	}
 	for p := 1; p < 4; p++ {
-		if b.c.places[p].silent {
-			t.Errorf("exchange %d taken for dead in the own exchange's jam", p)
+		if b.controller.exchanges[p].unresponsive {
+			t.Errorf("exchange %d unresponsive though only the local exchange is overloaded", p)
 		}
 	}
 }
 
-// Rule 4 at full size: 91 controllers, all with a flood for one cold exchange, stay under its budget together.
+// The rule on cold exchanges with many controllers: 91 of them, all with more calls for one cold exchange than it can take,
+// together stay below the load that would overload it.
 func TestManyControllersAndOneColdExchange(t *testing.T) {
-	const fleet, best = 92, 6.0
+	const replicas, establishedPerSecond = 92, 6.0
 	s := settings()
-	s.Replicas = fleet
+	s.Replicas = replicas
 	began := time.Hour
 	var all []time.Duration
-	for i := 0; i < fleet-1; i++ {
-		b := start(t, s)
-		b.c = New(s, uint64(i))
-		b.do(Topology{Kind: ListCached, Entries: []Entry{{Switch: 100, ExchangeNumber: 0, Mode: Ready},
+	for i := 0; i < replicas-1; i++ {
+		b := newBench(t, s)
+		b.controller = New(s, uint64(i))
+		b.handle(Topology{Kind: ListCached, Entries: []Entry{{Switch: 100, ExchangeNumber: 0, Mode: Ready},
 			{Switch: 101, ExchangeNumber: 1, Mode: Ready}, {Switch: 102, ExchangeNumber: 2, Mode: Ready}}})
-		b.c.best = best
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
+		b.controller.maxEstablishedRate = establishedPerSecond
+		b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Ready, OnlineSince: began}}})
 		for b.now < began+s.Rules.WarmUp {
-			b.free(1, 30)
-			b.free(2, 0)
+			b.reportFree(1, 30)
+			b.reportFree(2, 0)
 			b.offer(1)
-			b.pass(100 * ms)
-			for ref, k := range b.c.calls {
-				if k.out && !k.stands && b.now >= k.sentAt+200*ms {
-					b.stand(ref, b.to[ref])
+			b.advance(100 * ms)
+			for ref, call := range b.controller.calls {
+				if call.attemptPending && !call.established && b.now >= call.sentAt+200*ms {
+					b.establish(ref, b.lastSwitch[ref])
 				}
 			}
 		}
-		all = append(all, b.sends[101]...)
+		all = append(all, b.sentAt[101]...)
 	}
 	for at := time.Duration(0); at < s.Rules.WarmUp-s.Rules.OverloadWindow; at += 500 * ms {
-		n := 0
-		for _, x := range all {
-			if x >= began+at && x < began+at+s.Rules.OverloadWindow {
-				n++
+		count := 0
+		for _, sentAt := range all {
+			if sentAt >= began+at && sentAt < began+at+s.Rules.OverloadWindow {
+				count++
 			}
 		}
-		part := s.Rules.WarmUpStart + (1-s.Rules.WarmUpStart)*at.Seconds()/s.Rules.WarmUp.Seconds()
-		// As many come in as go out: the exchange takes twice what it sends, and its own set-ups count too.
-		own := best * 1.4142 * part * s.Rules.OverloadWindow.Seconds()
-		// Phases are drawn, so a window may hold some more by chance: a root of its count, twice.
-		most := s.Rules.OverloadMultiple*2*best*part*s.Rules.OverloadWindow.Seconds() - own
-		if most += 2 * math.Sqrt(own); float64(n) > most {
-			t.Fatalf("%v after the start: %d set-ups from all within %v, %.0f at most", at, n, s.Rules.OverloadWindow, most)
+		capacityShare := s.Rules.WarmUpStart + (1-s.Rules.WarmUpStart)*at.Seconds()/s.Rules.WarmUp.Seconds()
+		// An exchange receives as many calls as it sends, so it handles twice what it sends; its own set-ups count too.
+		ownSetUps := establishedPerSecond * 1.4142 * capacityShare * s.Rules.OverloadWindow.Seconds()
+		// The phases are random, so a window may hold more by chance: twice the square root of its count is allowed.
+		limit := s.Rules.OverloadMultiple*2*establishedPerSecond*capacityShare*s.Rules.OverloadWindow.Seconds() - ownSetUps
+		if limit += 2 * math.Sqrt(ownSetUps); float64(count) > limit {
+			t.Fatalf("%v after the start: %d set-ups from all within %v, want %.0f at most", at, count,
+				s.Rules.OverloadWindow, limit)
 		}
 	}
-	if len(all) < fleet/2 {
+	if len(all) < replicas/2 {
 		t.Errorf("only %d set-ups from all in the whole warm-up", len(all))
 	}
 }
 
-// Calls, numbers, redials and what is remembered of them are forgotten after a long run.
-func TestNothingIsKeptForEver(t *testing.T) {
-	for _, marks := range []bool{true, false} {
+// After a long run, nothing is kept of calls that are over, of busy numbers and of redials.
+func TestNoStateIsLeaked(t *testing.T) {
+	for _, callersFlagRedials := range []bool{true, false} {
 		s := settings()
-		s.MarksRedial = marks
-		b := start(t, s)
+		s.MarksRedial = callersFlagRedials
+		b := newBench(t, s)
 		for i := 0; i < 3000; i++ {
 			r := b.offer(1+i%3, func(o *Offer) { o.Number = uint64(i) })
-			if b.tries[r] > 0 {
-				b.ends(r, b.to[r], []Code{Full, Failed, TimedOut, OK}[i%4], []uint32{2, NoteBusy, 0, 0}[i%4])
+			if b.attempts[r] > 0 {
+				b.endAttempt(r, b.lastSwitch[r], []Code{Full, Failed, TimedOut, OK}[i%4], []uint32{2, NoteBusy, 0, 0}[i%4])
 			}
-			b.free(1+i%3, 20)
-			b.pass(20 * ms)
+			b.reportFree(1+i%3, 20)
+			b.advance(20 * ms)
 		}
-		b.pass(3 * time.Second)
-		for ref, k := range b.c.calls {
-			if k.out { // what was sent late and never answered
-				b.do(Outcome{Ref: ref, Switch: b.to[ref], Code: TimedOut, Final: true})
+		b.advance(3 * time.Second)
+		for ref, call := range b.controller.calls {
+			if call.attemptPending { // sent late and never answered
+				b.handle(Outcome{Ref: ref, Switch: b.lastSwitch[ref], Code: TimedOut, Final: true})
 			}
 		}
-		b.pass(time.Minute)
-		if n := len(b.c.calls) + len(b.c.held) + len(b.c.numbers); n != 0 {
-			t.Errorf("marks %v: %d calls, %d held, %d numbers kept", marks, len(b.c.calls), len(b.c.held), len(b.c.numbers))
+		b.advance(time.Minute)
+		if n := len(b.controller.calls) + len(b.controller.held) + len(b.controller.numbers); n != 0 {
+			t.Errorf("callers flag redials %v: %d calls, %d held, %d numbers kept", callersFlagRedials,
+				len(b.controller.calls), len(b.controller.held), len(b.controller.numbers))
 		}
 	}
 }
 
-// Where a pair has no group, a tandem once advised for it is drawn before one of which nothing is known: most of
-// those have no group to the destination either.
-func TestKnownTandemsAreDrawnFirst(t *testing.T) {
-	b := start(t, settings())
-	b.do(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
+// Towards a destination without a direct group, a tandem that was advised for it before is preferred to one of which nothing
+// is known: most of the latter have no group to the destination either.
+func TestKnownTandemsArePreferred(t *testing.T) {
+	b := newBench(t, settings())
+	b.handle(Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}})
 	b.offer(1, func(o *Offer) { o.Via = 3 })
-	b.standAll()
+	b.establishAll()
 	for i := 0; i < 12; i++ {
-		b.pass(5 * time.Second) // past what is remembered from the last use
-		if r := b.offer(1); b.to[r] != 103 {
-			t.Fatalf("call %d went over %d, want the tandem that was advised before", i, b.to[r])
+		b.advance(5 * time.Second) // so that the last tandem is forgotten
+		if r := b.offer(1); b.lastSwitch[r] != 103 {
+			t.Fatalf("call %d went over switch %d, want the tandem that was advised before", i, b.lastSwitch[r])
 		}
-		b.standAll()
+		b.establishAll()
 	}
 }
 
-// A pair without a group goes round even while the own gap is open, by its grants: it has no other way. Overflow of
-// a pair with a group stays home then.
-func TestOpenOwnGapLeavesPairsWithoutAGroup(t *testing.T) {
-	for size, tries := range map[float32]int{0: 1, 30: 0} {
-		b := start(t, settings())
-		b.do(Sampled{Switch: 101, Code: OK, Report: []float32{0, size, -1, -1}})
-		b.c.own.gap.set(b.now, time.Second, rand.New(rand.NewPCG(1, 1)))
+// While the local gap is active, a call without a direct group still goes over a tandem, with a grant of the gap, since it
+// has no other route. A call whose direct group is full does not.
+func TestActiveLocalGapAndTandems(t *testing.T) {
+	for size, attempts := range map[float32]int{0: 1, 30: 0} {
+		b := newBench(t, settings())
+		b.handle(Sampled{Switch: 101, Code: OK, Report: []float32{0, size, -1, -1}})
+		b.controller.local.gap.setInterval(b.now, time.Second, rand.New(rand.NewPCG(1, 1)))
 		r := b.offer(1)
-		b.pass(1200 * ms)
-		if b.tries[r] != tries {
-			t.Errorf("a group of %v, none free, own gap open: %d tries round, want %d", size, b.tries[r], tries)
+		b.advance(1200 * ms)
+		if b.attempts[r] != attempts {
+			t.Errorf("direct group of %v circuits, none free, local gap active: %d attempts over a tandem, want %d", size,
+				b.attempts[r], attempts)
 		}
 	}
 }
 
-// A district that is cut off: thin streams share what they see of it, its trial calls and its return. Lost answers
-// do not close it, nor does one dead exchange.
-func TestDistrictCutOff(t *testing.T) {
-	fail := func(b *bench, dests ...int) {
+// When a zone is cut off, its exchanges share the missing answers, the trial calls and the recovery, so that streams of few
+// calls notice it too. Single lost answers do not make a zone unresponsive, nor does one failed exchange.
+func TestZoneCutOff(t *testing.T) {
+	fail := func(b *testBench, dests ...int) {
 		var refs []uint32
 		for _, d := range dests {
 			refs = append(refs, b.offer(d))
 		}
-		b.pass(1500 * ms)
-		b.do(Flowing{Ref: b.offer(2), Switch: 102, Took: 50 * ms})
+		b.advance(1500 * ms)
+		b.handle(Flowing{Ref: b.offer(2), Switch: 102, Took: 50 * ms})
 		for i, r := range refs {
-			if b.tries[r] > 0 && b.final[r] == nil {
-				b.do(Outcome{Ref: r, Switch: uint32(100 + dests[i]), Code: TimedOut, Took: 1500 * ms})
+			if b.attempts[r] > 0 && b.answers[r] == nil {
+				b.handle(Outcome{Ref: r, Switch: uint32(100 + dests[i]), Code: TimedOut, Took: 1500 * ms})
 			}
 		}
 	}
-	b := start(t, settings()) // exchanges 1 and 3 are of another district, 2 of the own one
+	b := newBench(t, settings()) // exchanges 1 and 3 are of another zone, 2 of the local one
 	fail(b, 1, 3, 1, 3)
-	sent := len(b.sends[101]) + len(b.sends[103])
+	sent := len(b.sentAt[101]) + len(b.sentAt[103])
 	for i := 0; i < 8; i++ {
 		var refs []uint32
 		for j := 0; j < 5; j++ {
 			refs = append(refs, b.offer(1+j%2*2))
-			b.pass(100 * ms)
+			b.advance(100 * ms)
 		}
 		for _, r := range refs[:3] {
-			if b.tries[r] == 0 && b.final[r] == nil {
-				t.Fatal("a call to a district cut off is held though nothing is expected")
+			if b.attempts[r] == 0 && b.answers[r] == nil {
+				t.Fatal("a call to an unresponsive zone is held")
 			}
 		}
 	}
-	if n := len(b.sends[101]) + len(b.sends[103]) - sent; n < 3 || n > 9 {
-		t.Errorf("%d trial calls in 4 s, want some two a second for the whole district", n)
+	if n := len(b.sentAt[101]) + len(b.sentAt[103]) - sent; n < 3 || n > 9 {
+		t.Errorf("%d trial calls in 4 s, want about two a second for the whole zone", n)
 	}
-	if r := b.offer(2); b.tries[r] != 1 {
-		t.Error("the own district suffers")
+	if r := b.offer(2); b.attempts[r] != 1 {
+		t.Error("a call within the local zone was not sent")
 	}
 	var last uint32
-	for ref := range b.tries {
-		if sw := b.to[ref]; (sw == 101 || sw == 103) && ref > last && b.final[ref] == nil {
+	for ref := range b.attempts {
+		if switchID := b.lastSwitch[ref]; (switchID == 101 || switchID == 103) && ref > last && b.answers[ref] == nil {
 			last = ref
 		}
 	}
-	b.do(Flowing{Ref: last, Switch: b.to[last], Took: 50 * ms})
+	b.handle(Flowing{Ref: last, Switch: b.lastSwitch[last], Took: 50 * ms})
 	for _, d := range []int{1, 3} {
-		if r := b.offer(d); b.tries[r] != 1 {
-			t.Errorf("exchange %d: not called at once after an answer from its district", d)
+		if r := b.offer(d); b.attempts[r] != 1 {
+			t.Errorf("exchange %d: not called at once after an answer from its zone", d)
 		}
 	}
-	for _, c := range []struct {
-		name  string
-		dests []int
-		hears bool
-	}{{"one dead exchange", []int{1, 1, 1, 1, 1, 1}, false}, {"lost answers", []int{1, 3, 1, 3}, true}} {
-		b := start(t, settings())
-		fail(b, c.dests[:2]...)
-		if c.hears {
-			b.do(Flowing{Ref: b.offer(3), Switch: 103, Took: 50 * ms})
+	for _, test := range []struct {
+		name     string
+		dests    []int
+		answered bool
+	}{{"one failed exchange", []int{1, 1, 1, 1, 1, 1}, false}, {"lost answers", []int{1, 3, 1, 3}, true}} {
+		b := newBench(t, settings())
+		fail(b, test.dests[:2]...)
+		if test.answered {
+			b.handle(Flowing{Ref: b.offer(3), Switch: 103, Took: 50 * ms})
 		}
-		fail(b, c.dests[2:]...)
-		if b.c.places[3].zone.silent {
-			t.Errorf("%s closes the district", c.name)
+		fail(b, test.dests[2:]...)
+		if b.controller.exchanges[3].zone.unresponsive {
+			t.Errorf("%s: the zone is unresponsive", test.name)
 		}
 	}
 }
 
-// A call for which nothing can come any more is answered at once, not held to its aim.
-func TestNothingToWaitForIsAnsweredAtOnce(t *testing.T) {
+// A call for which no circuit can become free in time is refused at once, not held to its answer target.
+func TestHopelessCallIsAnsweredAtOnce(t *testing.T) {
 	none := Sampled{Switch: 101, Code: OK, Report: []float32{0, 0, -1, -1}}
 	full := Sampled{Switch: 101, Code: OK, Report: []float32{0, 30, -1, -1}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
-		run  func(b *bench) uint32
+		run  func(b *testBench) uint32
 	}{
-		{"may have run and must not repeat", func(b *bench) uint32 {
+		{"may have taken effect and must not be repeated", func(b *testBench) uint32 {
 			r := b.offer(1)
-			b.pass(100 * ms)
-			b.do(Outcome{Ref: r, Switch: 101, Code: Reset, Took: 100 * ms})
+			b.advance(100 * ms)
+			b.handle(Outcome{Ref: r, Switch: 101, Code: Reset, Took: 100 * ms})
 			return r
 		}},
-		{"the destination drains", func(b *bench) uint32 {
-			b.do(full)
+		{"the destination drains", func(b *testBench) uint32 {
+			b.handle(full)
 			r := b.offer(1)
-			b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Draining, Zone: 1}}})
+			b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: 101, ExchangeNumber: 1, Mode: Draining, Zone: 1}}})
 			return r
 		}},
-		{"no group, and no tries round left", func(b *bench) uint32 {
-			b.do(none)
-			b.c.round = [3]float64{0.4, 0.4, 0.4} // one try of four
+		{"no direct group, and no attempts over tandems left", func(b *testBench) uint32 {
+			b.handle(none)
+			b.controller.tandemSuccess = [3]float64{0.4, 0.4, 0.4} // one attempt of four
 			r := b.offer(1)
-			b.do(Outcome{Ref: r, Switch: b.to[r], Code: Full, Note: NoteCrankback, Took: 50 * ms})
+			b.handle(Outcome{Ref: r, Switch: b.lastSwitch[r], Code: Full, Note: NoteCrankback, Took: 50 * ms})
 			return r
 		}},
-		{"no group, and nothing stands round", func(b *bench) uint32 {
-			b.do(none)
-			b.c.round = [3]float64{0.1, 0.1, 0.1}
+		{"no direct group, and no tandem succeeds", func(b *testBench) uint32 {
+			b.handle(none)
+			b.controller.tandemSuccess = [3]float64{0.1, 0.1, 0.1}
 			return b.offer(1)
 		}},
 	} {
 		s := settings()
 		s.Classes[0].RepeatPolicy = "guarded"
-		b := start(t, s)
-		if r := c.run(b); b.final[r] == nil {
-			t.Errorf("%s: still held", c.name)
+		b := newBench(t, s)
+		if r := test.run(b); b.answers[r] == nil {
+			t.Errorf("%s: still held", test.name)
 		}
 	}
-	b := start(t, settings())
-	b.do(full)
-	if r := b.offer(1); b.final[r] != nil {
-		t.Error("a circuit may come free: should be held")
+	b := newBench(t, settings())
+	b.handle(full)
+	if r := b.offer(1); b.answers[r] != nil {
+		t.Error("not held though a circuit may become free")
 	}
 }
 
-// Where aims and holding times are a fifth, a gap comes and goes in a fifth of the time.
-func TestPaceFollowsTheSettings(t *testing.T) {
-	lasts := func(f time.Duration) time.Duration {
+// With a fifth of the answer targets and holding times, a gap lasts a fifth of the time.
+func TestAdjustIntervalFollowsSettings(t *testing.T) {
+	gapDuration := func(factor time.Duration) time.Duration {
 		s := settings()
 		for i := range s.Classes {
-			s.Classes[i].AnswerTarget /= f
-			s.Classes[i].MeanHold /= f
+			s.Classes[i].AnswerTarget /= factor
+			s.Classes[i].MeanHold /= factor
 		}
-		b := start(t, s)
-		x := b.c.places[1]
+		b := newBench(t, s)
+		x := b.controller.exchanges[1]
 		for i := 0; i < 200; i++ {
-			b.now += 100 * ms / f
-			b.offer(1, func(o *Offer) { o.TimeLeft /= f })
-			b.standAll()
-			b.free(1, 30)
+			b.now += 100 * ms / factor
+			b.offer(1, func(o *Offer) { o.TimeLeft /= factor })
+			b.establishAll()
+			b.reportFree(1, 30)
 			if i > 150 && i < 170 {
-				b.c.press(x, false)
+				b.controller.markOverloaded(x, false)
 			}
 		}
-		if !x.gap.open {
-			t.Fatal("no gap")
+		if !x.gap.active {
+			t.Fatal("the gap is not active")
 		}
 		at := b.now
-		for x.gap.open && b.now < at+time.Minute {
-			b.pass(20 * ms)
-			b.standAll()
+		for x.gap.active && b.now < at+time.Minute {
+			b.advance(20 * ms)
+			b.establishAll()
 		}
 		return b.now - at
 	}
-	slow, fast := lasts(1), lasts(5)
+	slow, fast := gapDuration(1), gapDuration(5)
 	if slow < 600*ms || fast > slow/4 {
-		t.Errorf("a gap lasts %v after its time, and %v where all is five times as fast", slow, fast)
+		t.Errorf("a gap lasts %v after the overload, and %v with all times divided by five", slow, fast)
 	}
 }
 
-// Errors are answers, and a broken connection is no exchange down: neither may shut a sound exchange out.
-func TestErrorsAndBrokenLinksAreNotSilence(t *testing.T) {
-	b := start(t, settings())
+// Errors are answers, and a broken connection does not mean that the exchange is down. Neither may limit the set-ups to an
+// exchange that works.
+func TestErrorsAndLostLinksAreNotMissingAnswers(t *testing.T) {
+	b := newBench(t, settings())
 	for i := 0; i < 12; i++ {
 		r := b.offer(1, func(o *Offer) { o.Flags = FlagRedial })
-		b.ends(r, 101, Failed, 0)
+		b.endAttempt(r, 101, Failed, 0)
 		r = b.offer(1, func(o *Offer) { o.Flags = FlagRedial })
-		b.ends(r, 101, Reset, NoteLinkLost)
+		b.endAttempt(r, 101, Reset, NoteLinkLost)
 	}
-	if x := b.c.places[1]; x.silent || x.gap.open || x.bad != 0 {
-		t.Errorf("silent %v, gap %v, bad %d after errors and resets", x.silent, x.gap.open, x.bad)
+	if exchange := b.controller.exchanges[1]; exchange.unresponsive || exchange.gap.active || exchange.failures != 0 {
+		t.Errorf("unresponsive %v, gap %v, %d failures after errors and resets", exchange.unresponsive, exchange.gap.active,
+			exchange.failures)
 	}
 }
 
-// Calls for the own exchange come here while another agent is away. No group leads to it, so they go round, and one in
-// transit, which has been round, does not.
-func TestCallsForTheOwnExchange(t *testing.T) {
-	b := start(t, settings())
+// Calls for the local exchange come here while another agent is away. No direct group leads to it, so they go over a tandem.
+// A call in transit has been over a tandem already and is refused.
+func TestCallsForLocalExchange(t *testing.T) {
+	b := newBench(t, settings())
 	r := b.offer(0)
-	if sw := b.sentTo(r); sw == 0 || sw == 100 {
-		t.Fatalf("sent to %d", sw)
+	if switchID := b.attemptedSwitch(r); switchID == 0 || switchID == 100 {
+		t.Fatalf("sent to switch %d, want a tandem", switchID)
 	}
-	b.stand(r, b.to[r])
-	if x := b.offer(0, func(o *Offer) { o.Flags = FlagTransit }); b.final[x] == nil || b.tries[x] != 0 {
-		t.Error("a call in transit to the own exchange is not turned back")
+	b.establish(r, b.lastSwitch[r])
+	if x := b.offer(0, func(o *Offer) { o.Flags = FlagTransit }); b.answers[x] == nil || b.attempts[x] != 0 {
+		t.Error("a call in transit to the local exchange is not refused")
 	}
 	for p := 1; p < 4; p++ {
-		b.free(p, 0)
+		b.reportFree(p, 0)
 	}
 	x := b.offer(0)
-	b.pass(3 * time.Second)
-	if b.tries[x] != 0 || b.final[x] == nil {
-		t.Errorf("%d tries without a tandem, final %v", b.tries[x], b.final[x])
+	b.advance(3 * time.Second)
+	if b.attempts[x] != 0 || b.answers[x] == nil {
+		t.Errorf("%d attempts without a tandem, final answer %v", b.attempts[x], b.answers[x])
 	}
 }
 
-// A new machine at a place inherits nothing of the last one, and the last one's id is forgotten.
-func TestNewMachineAtAPlace(t *testing.T) {
-	b := start(t, settings())
-	b.c.hush(b.c.places[1])
+// A new machine that serves an exchange number starts without what was learnt of the last one, whose switch ID is
+// forgotten.
+func TestNewMachineAtExchangeNumber(t *testing.T) {
+	b := newBench(t, settings())
+	b.controller.markUnresponsive(b.controller.exchanges[1])
 	for id := uint32(200); id < 300; id++ {
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id, ExchangeNumber: 1, Mode: Ready, Zone: 1}}})
-		b.do(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id - 1, ExchangeNumber: 1, Mode: Gone, Zone: 1}}})
+		b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id, ExchangeNumber: 1, Mode: Ready, Zone: 1}}})
+		b.handle(Topology{Kind: ListDelta, Entries: []Entry{{Switch: id - 1, ExchangeNumber: 1, Mode: Gone, Zone: 1}}})
 	}
-	if x := b.c.places[1]; x.silent || x.gap.open || x.id != 299 {
-		t.Errorf("silent %v, gap %v", x.silent, x.gap.open)
+	if exchange := b.controller.exchanges[1]; exchange.unresponsive || exchange.gap.active || exchange.switchID != 299 {
+		t.Errorf("unresponsive %v, gap %v", exchange.unresponsive, exchange.gap.active)
 	}
-	if n := len(b.c.ids); n != 4 {
-		t.Errorf("%d ids are kept of 4 machines", n)
+	if n := len(b.controller.numberBySwitch); n != 4 {
+		t.Errorf("%d switch IDs are kept of 4 machines", n)
 	}
 }
 
-// An exchange that answers errors to most set-ups gets three tries of a call; the last goes over a tandem, even one that has just
-// turned a call back. A call in transit has tries of its own, but none at a number found busy.
-func TestErrors(t *testing.T) {
-	b := start(t, settings())
-	for range 2 { // the second call finds its tandem remembered as one that turns back
+// An exchange that answers set-ups with errors gets three attempts of a call. The last one goes over a tandem, even one that
+// has just returned a call. A call in transit gets further attempts here, but not if the called number is busy.
+func TestAttemptsAfterErrors(t *testing.T) {
+	b := newBench(t, settings())
+	for range 2 { // at the second call, the tandem is known to have returned one
 		r := b.offer(1)
 		for i := 0; i < 3; i++ {
-			if b.to[r] != 101 || b.tries[r] != i+1 {
-				t.Fatalf("try %d of %d went to %d", i+1, b.tries[r], b.to[r])
+			if b.lastSwitch[r] != 101 || b.attempts[r] != i+1 {
+				t.Fatalf("attempt %d of %d went to switch %d", i+1, b.attempts[r], b.lastSwitch[r])
 			}
-			b.ends(r, 101, Failed, 0)
+			b.endAttempt(r, 101, Failed, 0)
 		}
-		if b.tries[r] != 4 || b.to[r] == 101 {
-			t.Errorf("after %d tries the last went to %d", b.tries[r], b.to[r])
+		if b.attempts[r] != 4 || b.lastSwitch[r] == 101 {
+			t.Errorf("after %d attempts the last went to switch %d", b.attempts[r], b.lastSwitch[r])
 		}
-		b.ends(r, b.to[r], Full, NoteCrankback)
-		if b.final[r] == nil {
-			t.Error("no answer")
+		b.endAttempt(r, b.lastSwitch[r], Full, NoteCrankback)
+		if b.answers[r] == nil {
+			t.Error("no final answer")
 		}
 	}
 	transit := func(o *Offer) { o.Flags = FlagTransit }
 	r := b.offer(1, transit)
 	for i := 0; i < 4; i++ {
-		if b.final[r] != nil || b.to[r] != 101 {
-			t.Fatalf("in transit: try %d", i+1)
+		if b.answers[r] != nil || b.lastSwitch[r] != 101 {
+			t.Fatalf("in transit: attempt %d", i+1)
 		}
-		b.ends(r, 101, Failed, 0)
+		b.endAttempt(r, 101, Failed, 0)
 	}
-	if b.final[r] == nil || b.tries[r] != 4 {
-		t.Errorf("in transit: %d tries", b.tries[r])
+	if b.answers[r] == nil || b.attempts[r] != 4 {
+		t.Errorf("in transit: %d attempts", b.attempts[r])
 	}
-	if r := b.offer(1, transit); b.tries[r] == 1 {
-		if b.ends(r, 101, Failed, NoteBusy); b.final[r] == nil || b.tries[r] != 1 {
-			t.Error("a busy number was tried again in transit")
+	if r := b.offer(1, transit); b.attempts[r] == 1 {
+		if b.endAttempt(r, 101, Failed, NoteBusy); b.answers[r] == nil || b.attempts[r] != 1 {
+			t.Error("a call in transit was sent again to a busy number")
 		}
 	}
 }
 
-// Settings that change: fewer attempts hold for open calls too, one that is open keeps its class, and a class that was dropped
-// weighs no more among those that are served worst.
+// When settings change, a lower limit of attempts also holds for open calls, an open call keeps its class, and a class that
+// was dropped is no longer considered as the one that is served worst.
 func TestRetune(t *testing.T) {
 	s := settings()
 	s.Classes[0].Name, s.Classes[1].Name = "a", "b"
-	b := start(t, s)
-	old := b.offer(1)
-	b.c.served[0] = 0 // the worst served
-	now := s
-	now.MaxAttempts = 2
-	now.Classes = append([]Class{}, s.Classes...)
-	now.Classes[0].Retired = true
-	now.Classes = append(now.Classes, Class{Name: "c",
+	b := newBench(t, s)
+	openCall := b.offer(1)
+	b.controller.servedByClass[0] = 0 // served worst
+	changed := s
+	changed.MaxAttempts = 2
+	changed.Classes = append([]Class{}, s.Classes...)
+	changed.Classes[0].Retired = true
+	changed.Classes = append(changed.Classes, Class{Name: "c",
 		AnswerTarget: 500 * ms, HardLimit: time.Second, RepeatPolicy: "single_shot"})
-	b.do(Retune{Settings: now})
-	if b.c.target != 0.25 || b.c.offered[2] != 1 || len(b.c.served) != 3 {
-		t.Errorf("target %v, %v offered", b.c.target, b.c.offered)
+	b.handle(Retune{Settings: changed})
+	if b.controller.maxWait != 0.25 || b.controller.offeredByClass[2] != 1 || len(b.controller.servedByClass) != 3 {
+		t.Errorf("overload at a wait of %v s, offered %v", b.controller.maxWait, b.controller.offeredByClass)
 	}
-	b.ends(old, 101, Failed, 0)
-	b.ends(old, 101, Failed, 0)
-	if b.tries[old] != 2 || b.final[old] == nil {
-		t.Errorf("%d tries", b.tries[old])
+	b.endAttempt(openCall, 101, Failed, 0)
+	b.endAttempt(openCall, 101, Failed, 0)
+	if b.attempts[openCall] != 2 || b.answers[openCall] == nil {
+		t.Errorf("%d attempts of the open call, want 2", b.attempts[openCall])
 	}
-	if _, failed := b.final[old].(GiveUp); failed {
-		t.Error("a call of a class that may be repeated is told as failed")
+	if _, failed := b.answers[openCall].(GiveUp); failed {
+		t.Error("a call that may be repeated was failed instead of refused")
 	}
 	once := b.offer(1, func(o *Offer) { o.Class = 2 })
-	b.ends(once, 101, Failed, 0)
-	if _, failed := b.final[once].(GiveUp); !failed || b.tries[once] != 1 {
-		t.Errorf("%d tries of a call that may not be repeated, %v", b.tries[once], b.final[once])
+	b.endAttempt(once, 101, Failed, 0)
+	if _, failed := b.answers[once].(GiveUp); !failed || b.attempts[once] != 1 {
+		t.Errorf("%d attempts of a call that must not be repeated, %v", b.attempts[once], b.answers[once])
 	}
-	for _, dest := range []int{1, 1} { // held, so that they are ranked
-		b.free(1, 0)
+	for _, dest := range []int{1, 1} { // held, so that they get a priority
+		b.reportFree(1, 0)
 		b.offer(dest, func(o *Offer) { o.Class = 1 })
 	}
-	for _, k := range b.c.held {
-		if k.Class == 1 && math.IsNaN(k.rank) || k.rank <= 0 {
-			t.Errorf("rank %v", k.rank)
+	for _, call := range b.controller.held {
+		if call.Class == 1 && math.IsNaN(call.priority) || call.priority <= 0 {
+			t.Errorf("priority %v", call.priority)
 		}
 	}
-	now.Classes = append([]Class{}, now.Classes...)
-	now.Classes[0] = Class{Name: "d", AnswerTarget: time.Second, HardLimit: time.Second} // its place is another's
-	b.c.offered[0] = 7
-	if b.do(Retune{Settings: now}); b.c.offered[0] != 1 {
-		t.Error("a class inherits what was counted of another")
+	changed.Classes = append([]Class{}, changed.Classes...)
+	changed.Classes[0] = Class{Name: "d", AnswerTarget: time.Second, HardLimit: time.Second} // another class gets its index
+	b.controller.offeredByClass[0] = 7
+	if b.handle(Retune{Settings: changed}); b.controller.offeredByClass[0] != 1 {
+		t.Error("a class starts with the counts of another")
 	}
 }
