--- a/interface.go
+++ b/interface.go
@@ -35,7 +35,7 @@
 type Class struct {
 	Name           string
 	AnswerTarget   time.Duration // a call established within this time has its full value
-	HardLimit      time.Duration // latest time for a call to be established
+	HardLimit      time.Duration // latest time to establish a call; the TimeLeft of a call that states none
 	Value          float64       // of one call, for the service score
 	LateValueShare float64       // share of the value that is left after the answer target
 	Width          float64       // circuits taken on each group of the route
@@ -81,7 +81,7 @@
 	Mode                 Mode
 	Weight               float64       // relative size
 	OnlineSince          time.Duration // clock time of the last start; 0: long ago
-	NoTransit            bool          // cannot be a tandem, as a gateway: takes only calls for its own exchange number
+	NoTransit            bool          // cannot be a tandem: a gateway, which takes calls for its own exchange number only
 }
 
 // ListKind is the kind of the list in a Topology event.
@@ -91,7 +91,7 @@
 const (
 	ListDelta  ListKind = 0 // changes only
 	ListFull   ListKind = 1 // the whole list
-	ListCached ListKind = 2 // the whole list, from a store that may be out of date
+	ListCached ListKind = 2 // the whole list as it was known before the start
 	ListFailed ListKind = 3 // the list could not be obtained
 )
 
