--- a/internal/debug/debug.go
+++ b/internal/debug/debug.go
@@ -1,5 +1,5 @@
-// Package debug checks what must hold. A build with the tag debug stops where it does not; any other counts it
-// and goes on.
+// Package debug checks invariants. A build with the tag debug panics on a violation; any other build counts it and
+// continues.
 package debug
 
 import (
@@ -8,12 +8,12 @@
 	"tinbeam/internal/metrics"
 )
 
-// Check states that ok holds, and returns it, so that the caller can act safely where it does not.
+// Check checks that the invariant ok holds, and returns ok so that the caller can handle a violation safely.
 func Check(ok bool, c *metrics.Counter, format string, args ...any) bool {
 	if !ok {
 		c.Inc()
-		if asserting {
-			panic("does not hold: " + fmt.Sprintf(format, args...))
+		if panicOnViolation {
+			panic("invariant violated: " + fmt.Sprintf(format, args...))
 		}
 	}
 	return ok
--- a/internal/debug/debug_on.go
+++ b/internal/debug/debug_on.go
@@ -2,4 +2,4 @@
 
 package debug
 
-const asserting = true
+const panicOnViolation = true
--- a/internal/debug/debug_test.go
+++ b/internal/debug/debug_test.go
@@ -6,20 +6,20 @@
 	"tinbeam/internal/metrics"
 )
 
-// What does not hold is counted in both builds, and stops a debug build.
-func TestMust(t *testing.T) {
+// A violation must be counted in both builds, and panic in a debug build only.
+func TestCheck(t *testing.T) {
 	m := metrics.New()
-	stopped := func(ok bool) (stopped bool) {
-		defer func() { stopped = recover() != nil }()
+	panicked := func(ok bool) (panicked bool) {
+		defer func() { panicked = recover() != nil }()
 		if Check(ok, m.Violations, "case %v", ok) != ok {
-			t.Errorf("Must(%v) says otherwise", ok)
+			t.Errorf("Check(%v) returned the opposite", ok)
 		}
 		return false
 	}
-	if stopped(true) || m.Violations.Value() != 0 {
-		t.Error("what holds was taken not to")
+	if panicked(true) || m.Violations.Value() != 0 {
+		t.Error("an invariant that holds was counted or panicked")
 	}
-	if stopped(false) != asserting || m.Violations.Value() != 1 {
-		t.Errorf("stopped and counted otherwise: %d", m.Violations.Value())
+	if panicked(false) != panicOnViolation || m.Violations.Value() != 1 {
+		t.Errorf("a violation panicked in the wrong build, or was counted %d times", m.Violations.Value())
 	}
 }
--- a/internal/debug/release.go
+++ b/internal/debug/release.go
@@ -2,4 +2,4 @@
 
 package debug
 
-const asserting = false
+const panicOnViolation = false
