--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,6 @@
-// Package link has the connection object that every stream of the agent uses: netpoll reads, one goroutine a
-// connection writes, and callbacks tell of what came and of the end. Nothing is started for a message.
+// Package link has the connection object for all TCP streams of the agent. netpoll reads, one goroutine for each connection
+// writes, and a Handler is called with received data and when the connection ends. No goroutine is started for a single
+// message.
 package link
 
 import (
@@ -18,16 +19,16 @@
 )
 
 const (
-	maxQueued    = 256 << 10       // bytes that may wait for a peer that does not read
-	maxWrite     = 32 << 10        // bytes handed to the kernel at once: what is behind them can still be taken back
-	maxInput     = 1<<20 + 64      // bytes kept of a message that is not whole; the parsers' own bounds are lower
-	maxBite      = 32 << 10        // bytes of input shown at once
-	maxKernel    = 64 << 10        // bytes that the kernel keeps of a caller's input
-	writeTimeout = 3 * time.Second // a peer that reads nothing for so long is gone
+	maxQueued        = 256 << 10       // bytes that may be queued for a peer that does not read
+	maxWrite         = 32 << 10        // bytes handed to the kernel at once; messages queued behind them can still be withdrawn
+	maxInput         = 1<<20 + 64      // bytes buffered of an incomplete message; the parsers' own limits are lower
+	maxChunk         = 32 << 10        // bytes of input passed to the handler at once
+	maxReceiveBuffer = 64 << 10        // kernel receive buffer of an accepted connection, in bytes
+	writeTimeout     = 3 * time.Second // a peer that reads nothing for this long is considered gone
 )
 
-// SendHandle lets a message be taken back as long as it has not been handed to the kernel.
-// Counter, where there is one, counts it then.
+// SendHandle allows a sent message to be withdrawn until it has been handed to the kernel. Counter, if set, is incremented
+// when that happens.
 type SendHandle struct {
 	Counter interface{ Inc() }
 	state   atomic.Int32
@@ -39,64 +40,66 @@
 	withdrawn
 )
 
-// Withdraw takes the message back, and tells whether that came in time.
+// Withdraw prevents the message from being written, and reports whether it was still in time.
 func (t *SendHandle) Withdraw() bool { return t.state.CompareAndSwap(waiting, withdrawn) }
 
-// Written tells whether the message has been handed to the kernel.
+// Written reports whether the message has been handed to the kernel.
 func (t *SendHandle) Written() bool { return t.state.Load() == written }
 
-// Handler is what a connection tells of itself. Data takes whole messages from the front of b and tells how
-// many bytes they had; an error closes the connection after what is queued has been written. Closed
-// comes once, after the last Data.
+// Handler receives the events of a connection. Data consumes complete messages from the start of b and returns the number
+// of bytes consumed; if it returns an error, the connection is closed after the queued messages have been written. Closed
+// is called once, after the last Data.
 type Handler interface {
 	Data(c *Conn, b []byte) (int, error)
 	Closed(c *Conn)
 }
 
-// Conn is one connection.
+// Conn is a TCP connection.
 type Conn struct {
-	np     netpoll.Connection
-	events Handler
-	in     []byte
-	part   atomic.Int64 // since when the start of a message has waited for its rest, on the clock of clock; 0: none
-
-	mu      sync.Mutex
-	wake    sync.Cond
-	queue   []message
-	queued  int
-	most    int  // bytes that may be queued
-	writing bool // the writing goroutine runs, from the first message on
-	closing bool // nothing more is queued; closed when all is written
-	closed  bool
-	told    sync.Once
+	np           netpoll.Connection
+	handler      Handler
+	input        []byte
+	partialSince atomic.Int64 // time, from clock, since which an incomplete message has been buffered; 0: none
+
+	mu         sync.Mutex
+	wake       sync.Cond
+	queue      []message
+	queued     int
+	maxQueued  int  // limit on queued bytes
+	writing    bool // the writing goroutine has been started, at the first message
+	closing    bool // no more messages are accepted; closes once the queue has been written
+	closed     bool
+	closedOnce sync.Once
 }
 
 type message struct {
 	bytes  []byte
-	ticket *SendHandle
+	handle *SendHandle
 }
 
-func attach(np netpoll.Connection, most int, events func(*Conn) Handler) *Conn {
-	c := &Conn{np: np, most: most}
+func newConn(np netpoll.Connection, maxQueued int, accept func(*Conn) Handler) *Conn {
+	c := &Conn{np: np, maxQueued: maxQueued}
 	c.wake.L = &c.mu
-	// Guards against an owner that learns of the connection in events, on another goroutine, and closes it at once.
+	// The owner learns of the connection in accept and may close it at once on another goroutine. Without the lock, that could
+	// happen before the handler is set.
 	c.mu.Lock()
-	c.events = events(c)
+	c.handler = accept(c)
 	c.mu.Unlock()
 	_ = np.SetWriteTimeout(writeTimeout)
 	_ = np.AddCloseCallback(func(netpoll.Connection) error {
-		c.stop()
+		c.markClosed()
 		return nil
 	})
 	return c
 }
 
-// Dial opens a connection, or gives up after the timeout. It blocks: never call it on the core's goroutine.
-func Dial(addr string, timeout time.Duration, ev Handler) (*Conn, error) {
+// Dial opens a connection and fails after the timeout. It blocks, so it must not be called on the core's goroutine.
+func Dial(addr string, timeout time.Duration, handler Handler) (*Conn, error) {
 	np, err := netpoll.DialConnection("tcp", addr, timeout)
 	if errors.Is(err, netpoll.ErrConnClosed) {
-		// Guards the calls that stand: netpoll 0.7 says the same of a refused connection and, one time in fifty, of one
-		// that was reset as it came up. A plain socket has the system's own word.
+		// netpoll 0.7 returns this error for a refused connection and also, about one time in 50, for one that was reset
+		// while it was being set up. Taking such a reset for a refusal would end the established calls, so a plain socket
+		// is used to get the system's own error.
 		if plain, e := net.DialTimeout("tcp", addr, timeout); e == nil {
 			plain.Close()
 		} else {
@@ -106,162 +109,166 @@
 	if err != nil {
 		return nil, err
 	}
-	c := attach(np, maxQueued, func(*Conn) Handler { return ev })
+	c := newConn(np, maxQueued, func(*Conn) Handler { return handler })
 	if err := np.SetOnRequest(c.onRequest); err != nil {
 		c.Close()
 		return nil, err
 	}
 	if !np.IsActive() {
-		c.Close() // netpoll tells of no end that came before its callbacks were set
+		c.Close() // netpoll does not report an end that came before its callbacks were set
 	}
 	return c, nil
 }
 
-// Refused tells whether a dial met a machine on which nothing listens.
+// Refused reports whether a dial failed because nothing listens at the address, although the machine is reachable.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Listener takes connections in.
+// Listener accepts connections.
 type Listener struct {
-	open   atomic.Int64
-	most   atomic.Int64
-	door   *door
-	loop   netpoll.EventLoop
-	serve  sync.Once
-	passed bool
+	openConns atomic.Int64
+	maxConns  atomic.Int64
+	ln        *stoppableListener
+	eventLoop netpoll.EventLoop
+	serveOnce sync.Once
+	inherited bool
 }
 
-// Listen opens addr; accept gives each new connection its events. More connections than most are closed at once: the
-// descriptors that are left belong to the far ends. On each at most queued bytes wait for a peer that does not read.
-// Nothing is taken in before Serve.
-func Listen(addr string, most, queued int, accept func(*Conn) Handler) (*Listener, error) {
-	conf := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error { return narrow(raw) }}
-	ln, err := conf.Listen(context.Background(), "tcp", addr)
+// Listen opens addr; accept returns the handler of each new connection. If more than maxConns connections are open, new ones
+// are closed at once, because the remaining file descriptors are needed for the far ends. For each connection at most
+// maxQueued bytes are queued for a peer that does not read. No connection is accepted before Serve.
+func Listen(addr string, maxConns, maxQueued int, accept func(*Conn) Handler) (*Listener, error) {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error { return limitReceiveBuffer(raw) }}
+	ln, err := config.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return listener(ln, false, most, queued, accept)
+	return newListener(ln, false, maxConns, maxQueued, accept)
 }
 
-// Inherit is Listen on a socket that listens already and was passed to this process as a descriptor. Other processes hold
-// it too, so it is never shut down here: what this one does not take in is theirs.
-func Inherit(fd, most, queued int, accept func(*Conn) Handler) (*Listener, error) {
+// Inherit is like Listen for a socket that already listens and was passed to this process as a file descriptor. Other
+// processes hold the same socket, so it is never shut down here: connections that this process does not accept are left to
+// them.
+func Inherit(fd, maxConns, maxQueued int, accept func(*Conn) Handler) (*Listener, error) {
 	f := os.NewFile(uintptr(fd), "passed socket")
 	if f == nil {
-		return nil, fmt.Errorf("descriptor %d: %w", fd, os.ErrInvalid)
+		return nil, fmt.Errorf("file descriptor %d: %w", fd, os.ErrInvalid)
 	}
 	ln, err := net.FileListener(f)
 	f.Close()
 	if err != nil {
-		return nil, fmt.Errorf("descriptor %d: %w", fd, err)
+		return nil, fmt.Errorf("file descriptor %d: %w", fd, err)
 	}
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		ln.Close()
-		return nil, fmt.Errorf("descriptor %d does not listen for TCP", fd)
+		return nil, fmt.Errorf("file descriptor %d is not a TCP listener", fd)
 	}
 	if raw, err := tcp.SyscallConn(); err == nil {
-		_ = narrow(raw)
+		_ = limitReceiveBuffer(raw)
 	}
-	return listener(ln, true, most, queued, accept)
+	return newListener(ln, true, maxConns, maxQueued, accept)
 }
 
-// narrow guards the memory: netpoll reads whatever the kernel has, whether or not it is handled, in ever larger blocks.
-// What the kernel has is bounded here, for all connections taken in.
-func narrow(raw syscall.RawConn) error {
+// limitReceiveBuffer limits the kernel's receive buffer of a listening socket, and so of all connections accepted from it.
+// Without this, memory has no bound: netpoll reads everything that the kernel has, in ever larger blocks, even if earlier
+// data has not been handled yet.
+func limitReceiveBuffer(raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, maxKernel)
+		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, maxReceiveBuffer)
 	})
 }
 
-func listener(ln net.Listener, passed bool, most, queued int, accept func(*Conn) Handler) (*Listener, error) {
+func newListener(ln net.Listener, inherited bool, maxConns, maxQueued int, accept func(*Conn) Handler) (*Listener, error) {
 	type key struct{}
 	np, err := netpoll.ConvertListener(ln)
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	l := &Listener{door: &door{Listener: np, plain: ln, passed: passed}, passed: passed}
-	l.most.Store(int64(most))
+	l := &Listener{ln: &stoppableListener{Listener: np, socket: ln, inherited: inherited}, inherited: inherited}
+	l.maxConns.Store(int64(maxConns))
 	loop, err := netpoll.NewEventLoop(
 		func(ctx context.Context, np netpoll.Connection) error {
 			c, ok := ctx.Value(key{}).(*Conn)
 			if !ok {
-				return errors.New("link: a connection without its object")
+				return errors.New("link: accepted connection has no Conn in its context")
 			}
 			return c.onRequest(ctx, np)
 		},
 		netpoll.WithOnPrepare(func(np netpoll.Connection) context.Context {
-			l.open.Add(1)
+			l.openConns.Add(1)
 			_ = np.AddCloseCallback(func(netpoll.Connection) error {
-				l.open.Add(-1)
+				l.openConns.Add(-1)
 				return nil
 			})
-			if l.open.Load() > l.most.Load() {
+			if l.openConns.Load() > l.maxConns.Load() {
 				_ = np.Close()
 				return context.Background()
 			}
-			return context.WithValue(context.Background(), key{}, attach(np, queued, accept))
+			return context.WithValue(context.Background(), key{}, newConn(np, maxQueued, accept))
 		}))
 	if err != nil {
 		ln.Close()
 		return nil, err
 	}
-	l.loop = loop
+	l.eventLoop = loop
 	return l, nil
 }
 
-// Serve begins to take connections in.
+// Serve starts to accept connections.
 func (l *Listener) Serve() {
-	l.serve.Do(func() { go func() { _ = l.loop.Serve(l.door) }() })
+	l.serveOnce.Do(func() { go func() { _ = l.eventLoop.Serve(l.ln) }() })
 }
 
-// door is a listener that can be left: what netpoll is told of as closed it takes off its poller, and what it has taken in
-// stays open.
-type door struct {
+// stoppableListener is a listener that can stop accepting: it reports itself closed, so that netpoll removes it from its
+// poller, while connections that it has already accepted stay open.
+type stoppableListener struct {
 	netpoll.Listener
-	plain  net.Listener
-	passed bool
-	left   atomic.Bool
+	socket    net.Listener
+	inherited bool
+	stopped   atomic.Bool
 }
 
-// Accept guards a passed socket's other holders: what comes to one that is left waits for them.
-func (d *door) Accept() (net.Conn, error) {
-	if d.left.Load() {
+// Accept accepts nothing once the listener has been stopped, so that new connections to an inherited socket are left to the
+// other processes that hold it.
+func (s *stoppableListener) Accept() (net.Conn, error) {
+	if s.stopped.Load() {
 		return nil, net.ErrClosed
 	}
-	return d.Listener.Accept()
+	return s.Listener.Accept()
 }
 
-// Close guards other descriptors of the process: netpoll 0.7 closes a listener's twice by number, and what has been opened in
-// between under that number is closed with it. Here the socket is shut, unless others hold it, and the file that netpoll
-// holds of it closes it once, when it is collected.
-func (d *door) Close() error {
-	if !d.passed {
-		_ = syscall.Shutdown(d.Fd(), syscall.SHUT_RDWR)
+// Close closes the socket without closing netpoll's file descriptor by number. netpoll 0.7 closes the descriptor of a
+// listener twice, and the second time could close another file that got the same number in between. Here the socket is shut
+// down, unless other processes hold it, and netpoll's copy of it is closed once, when its file object is garbage collected.
+func (s *stoppableListener) Close() error {
+	if !s.inherited {
+		_ = syscall.Shutdown(s.Fd(), syscall.SHUT_RDWR)
 	}
-	return d.plain.Close()
+	return s.socket.Close()
 }
 
-// Addr is where it listens.
-func (l *Listener) Addr() string { return l.door.Addr().String() }
+// Addr returns the address on which the listener accepts connections.
+func (l *Listener) Addr() string { return l.ln.Addr().String() }
 
-// Inherited tells whether the socket is held by other processes too.
-func (l *Listener) Inherited() bool { return l.passed }
+// Inherited reports whether the socket was passed to this process, so that other processes may hold it too.
+func (l *Listener) Inherited() bool { return l.inherited }
 
-// StopAccepting takes nothing more from a passed socket, which is for its other holders; those that are open stay.
-func (l *Listener) StopAccepting() { l.door.left.Store(true) }
+// StopAccepting accepts no more connections from an inherited socket and leaves them to the other processes that hold it;
+// open connections stay.
+func (l *Listener) StopAccepting() { l.ln.stopped.Store(true) }
 
-// RejectNew has every further connection closed as it comes; those that are open stay.
-func (l *Listener) RejectNew() { l.most.Store(0) }
+// RejectNew closes every further connection as soon as it is accepted; open connections stay.
+func (l *Listener) RejectNew() { l.maxConns.Store(0) }
 
-// Close stops listening and closes what it took in.
+// Close stops listening and closes all accepted connections.
 func (l *Listener) Close() {
-	l.serve.Do(func() {})
+	l.serveOnce.Do(func() {})
 	l.StopAccepting()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	_ = l.loop.Shutdown(ctx)
-	_ = l.door.Close()
+	_ = l.eventLoop.Shutdown(ctx)
+	_ = l.ln.Close()
 }
 
 func (c *Conn) onRequest(_ context.Context, np netpoll.Connection) error {
@@ -272,75 +279,75 @@
 	}
 	b, err := r.Next(n)
 	if err != nil {
-		return nil // the close callback tells
+		return nil // the close callback reports it
 	}
-	// Shown bite by bite, so that what is kept of a message stays small however much has come.
-	for len(b) > 0 && !c.ended() {
-		n := min(len(b), maxBite)
-		c.in = append(c.in, b[:n]...)
+	// The handler gets the input in chunks, so that the buffer stays small however much was read.
+	for len(b) > 0 && !c.isClosing() {
+		n := min(len(b), maxChunk)
+		c.input = append(c.input, b[:n]...)
 		b = b[n:]
-		used, err := c.events.Data(c, c.in)
-		used = min(max(used, 0), len(c.in))
-		c.in = append(c.in[:0], c.in[used:]...)
-		if err != nil || len(c.in) > maxInput {
+		used, err := c.handler.Data(c, c.input)
+		used = min(max(used, 0), len(c.input))
+		c.input = append(c.input[:0], c.input[used:]...)
+		if err != nil || len(c.input) > maxInput {
 			c.CloseAfterFlush()
 		}
-		if len(c.in) == 0 {
-			c.part.Store(0)
-		} else if used > 0 || c.part.Load() == 0 {
-			c.part.Store(int64(clock()))
+		if len(c.input) == 0 {
+			c.partialSince.Store(0)
+		} else if used > 0 || c.partialSince.Load() == 0 {
+			c.partialSince.Store(int64(clock()))
 		}
 	}
-	if c.ended() || len(c.in) == 0 && cap(c.in) > 2*maxBite {
-		c.in = nil
+	if c.isClosing() || len(c.input) == 0 && cap(c.input) > 2*maxChunk {
+		c.input = nil
 	}
 	_ = r.Release()
 	return nil
 }
 
-func (c *Conn) ended() bool {
+func (c *Conn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing || c.closed
 }
 
-// clock only ever grows, from 1.
+// clock is monotonic and starts at 1 so that 0 can mean that no time is set.
 var clock = func() func() time.Duration {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) + 1 }
 }()
 
-// StalledFor is how long the start of a message has waited for its rest; 0: there is none.
+// StalledFor returns how long an incomplete message has been waiting for its remaining bytes; 0 if there is none.
 func (c *Conn) StalledFor() time.Duration {
-	if at := c.part.Load(); at != 0 {
+	if at := c.partialSince.Load(); at != 0 {
 		return clock() - time.Duration(at)
 	}
 	return 0
 }
 
-// Send queues a message; it never blocks. It tells false where the connection is closed or its peer has not
-// read for so long that the queue is full, which ends the connection. A nil ticket cannot be withdrawn.
-func (c *Conn) Send(b []byte, t *SendHandle) bool {
+// Send queues a message and never blocks. It returns false if the connection is closed, or if the queue is full because the
+// peer has not read for too long; the latter closes the connection. A message with a nil handle cannot be withdrawn.
+func (c *Conn) Send(b []byte, handle *SendHandle) bool {
 	c.mu.Lock()
 	if c.closing || c.closed {
 		c.mu.Unlock()
 		return false
 	}
-	if c.queued+len(b) > c.most {
+	if c.queued+len(b) > c.maxQueued {
 		c.mu.Unlock()
 		c.Close()
 		return false
 	}
-	c.queue = append(c.queue, message{b, t})
+	c.queue = append(c.queue, message{b, handle})
 	c.queued += len(b)
-	c.write()
+	c.wakeWriter()
 	c.mu.Unlock()
 	return true
 }
 
-// write has the writing goroutine go on; it is there from the first message on, so that peers to whom nothing is said
-// cost little.
-func (c *Conn) write() {
+// wakeWriter wakes the writing goroutine, and starts it at the first message. Until then there is none, so that connections
+// on which nothing is sent need few resources.
+func (c *Conn) wakeWriter() {
 	if !c.writing {
 		c.writing = true
 		go c.writeLoop()
@@ -348,36 +355,36 @@
 	c.wake.Signal()
 }
 
-// CloseAfterFlush closes the connection once all that is queued has been written.
+// CloseAfterFlush closes the connection once all queued messages have been written.
 func (c *Conn) CloseAfterFlush() {
 	c.mu.Lock()
 	c.closing = true
 	if !c.closed {
-		c.write()
+		c.wakeWriter()
 	}
 	c.mu.Unlock()
 }
 
-// Close closes the connection at once.
+// Close closes the connection at once and drops queued messages.
 func (c *Conn) Close() {
-	c.stop()
+	c.markClosed()
 	_ = c.np.Close()
 }
 
-// Peer is the other side's address.
+// Peer returns the remote address.
 func (c *Conn) Peer() string { return c.np.RemoteAddr().String() }
 
-func (c *Conn) stop() {
+func (c *Conn) markClosed() {
 	c.mu.Lock()
 	c.closed = true
 	c.queue, c.queued = nil, 0
 	c.wake.Signal()
 	c.mu.Unlock()
-	c.told.Do(func() { c.events.Closed(c) })
+	c.closedOnce.Do(func() { c.handler.Closed(c) })
 }
 
-// take is the next batch to write; nil: the connection is over.
-func (c *Conn) take() []byte {
+// nextBatch waits for the next batch of messages to write; nil means that the connection is to be closed.
+func (c *Conn) nextBatch() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -389,10 +396,10 @@
 			}
 			n++
 			c.queued -= len(m.bytes)
-			if m.ticket == nil || m.ticket.state.CompareAndSwap(waiting, written) {
+			if m.handle == nil || m.handle.state.CompareAndSwap(waiting, written) {
 				batch = append(batch, m.bytes...)
-				if m.ticket != nil && m.ticket.Counter != nil {
-					m.ticket.Counter.Inc()
+				if m.handle != nil && m.handle.Counter != nil {
+					m.handle.Counter.Inc()
 				}
 			}
 		}
@@ -414,7 +421,7 @@
 func (c *Conn) writeLoop() {
 	w := c.np.Writer()
 	for {
-		b := c.take()
+		b := c.nextBatch()
 		if b == nil {
 			break
 		}
@@ -429,7 +436,7 @@
 }
 
 func init() {
-	// One core: one poller is enough, and a second one would only trade the core with the first. What netpoll logs of
-	// each reset and early close is counted by the owners of the connections.
+	// The program is meant for one CPU core: a second poller would only compete with the first for it. netpoll's log of each
+	// reset and early close is discarded, because the owners of the connections count these events.
 	_ = netpoll.Configure(netpoll.Config{PollerNum: 1, LoggerOutput: io.Discard})
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -9,21 +9,22 @@
 	"time"
 )
 
-type quiet struct{ closed chan struct{} }
+// discardHandler consumes all input, and closes its channel when the connection ends.
+type discardHandler struct{ closed chan struct{} }
 
-func (q quiet) Data(_ *Conn, b []byte) (int, error) { return len(b), nil }
-func (q quiet) Closed(*Conn)                        { close(q.closed) }
+func (h discardHandler) Data(_ *Conn, b []byte) (int, error) { return len(b), nil }
+func (h discardHandler) Closed(*Conn)                        { close(h.closed) }
 
-// pair is a connection and its other side.
-func pair(t *testing.T) (*Conn, net.Conn, quiet) {
+// pair returns a connection, its peer and its handler.
+func pair(t *testing.T) (*Conn, net.Conn, discardHandler) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	ev := quiet{make(chan struct{})}
-	c, err := Dial(ln.Addr().String(), 10*time.Second, ev)
+	handler := discardHandler{make(chan struct{})}
+	c, err := Dial(ln.Addr().String(), 10*time.Second, handler)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,28 +33,29 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peer.Close() })
-	return c, peer, ev
+	return c, peer, handler
 }
 
-// Guards what tells a process that died from a machine that is cut off: only the first refuses connections.
+// A process that died must be told apart from a machine that cannot be reached: only the former refuses connections.
 func TestRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	c, err := Dial(addr, 10*time.Second, quiet{make(chan struct{})})
+	c, err := Dial(addr, 10*time.Second, discardHandler{make(chan struct{})})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
 	ln.Close()
 	if _, err = Dial(addr, 10*time.Second, nil); !Refused(err) {
-		t.Errorf("%v is not told as refused", err)
+		t.Errorf("%v is not reported as refused", err)
 	}
 }
 
-// A connection that is reset as it comes up is no refused one, and its end is told however early it came.
+// A connection that is reset while it is being set up must not count as refused, and its end must be reported however early
+// it came.
 func TestResetIsNotRefused(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,21 +73,22 @@
 		}
 	}()
 	for i := 0; i < 200; i++ {
-		ev := quiet{make(chan struct{})}
-		if _, err := Dial(ln.Addr().String(), 10*time.Second, ev); err == nil {
-			<-ev.closed
+		handler := discardHandler{make(chan struct{})}
+		if _, err := Dial(ln.Addr().String(), 10*time.Second, handler); err == nil {
+			<-handler.closed
 		} else if Refused(err) {
-			t.Fatalf("try %d: %v is told as refused", i, err)
+			t.Fatalf("try %d: %v is reported as refused", i, err)
 		}
 	}
 }
 
-// What is withdrawn before it is written never leaves; what is behind it does, and the end is told once.
+// A message that was withdrawn before it was written must never be sent; the one behind it must be, and the end of the
+// connection must be reported once.
 func TestWithdraw(t *testing.T) {
-	c, peer, ev := pair(t)
+	c, peer, handler := pair(t)
 	var a, b SendHandle
 	if !a.Withdraw() || a.Withdraw() {
-		t.Error("a waiting message is withdrawn once")
+		t.Error("withdrawing a waiting message twice did not succeed exactly once")
 	}
 	c.Send([]byte("withdrawn"), &a)
 	c.Send([]byte("sent"), &b)
@@ -95,14 +98,15 @@
 		t.Errorf("read %q %v", got[:n], err)
 	}
 	peer.Close()
-	<-ev.closed
+	<-handler.closed
 	if c.Send([]byte("x"), nil) {
-		t.Error("a closed connection took a message")
+		t.Error("a closed connection accepted a message")
 	}
 }
 
-// Guards other descriptors of the process against a listener that closes its own twice.
-func TestListenerClosesItsDescriptorOnce(t *testing.T) {
+// A listener that closes its file descriptor twice would close another file of the process that got the same number in
+// between.
+func TestListenerClosesDescriptorOnce(t *testing.T) {
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -125,7 +129,7 @@
 		}
 	}()
 	for i := 0; i < 300; i++ {
-		l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Handler { return quiet{make(chan struct{})} })
+		l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Handler { return discardHandler{make(chan struct{})} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -135,7 +139,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for l.open.Load() != 1 { // it serves
+		for l.openConns.Load() != 1 { // the listener is serving
 			time.Sleep(time.Millisecond)
 		}
 		l.Close()
@@ -149,9 +153,9 @@
 	<-done
 }
 
-// Guards the descriptors: more connections than allowed are closed at once, and the others go on.
-func TestConnectionsBounded(t *testing.T) {
-	l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Handler { return quiet{make(chan struct{})} })
+// Connections above the limit must be closed at once, or they use up the file descriptors; the others must stay open.
+func TestConnectionLimit(t *testing.T) {
+	l, err := Listen("127.0.0.1:0", 1, maxQueued, func(*Conn) Handler { return discardHandler{make(chan struct{})} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +166,7 @@
 		t.Fatal(err)
 	}
 	defer first.Close()
-	for l.open.Load() != 1 {
+	for l.openConns.Load() != 1 {
 		time.Sleep(time.Millisecond)
 	}
 	second, err := net.Dial("tcp", l.Addr())
@@ -171,29 +175,29 @@
 	}
 	defer second.Close()
 	if n, err := second.Read(make([]byte, 1)); err == nil {
-		t.Errorf("read %d from a connection too many", n)
+		t.Errorf("read %d bytes from a connection above the limit", n)
 	}
 	first.Close()
-	for l.open.Load() != 0 {
+	for l.openConns.Load() != 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A peer that does not read must not hold more than its share of memory: the connection is ended.
+// A peer that does not read must not use more than its share of memory: the connection is closed.
 func TestPeerThatDoesNotRead(t *testing.T) {
-	c, _, ev := pair(t)
+	c, _, handler := pair(t)
 	block := make([]byte, 64<<10)
 	for i := 0; c.Send(block, nil); i++ {
 		if i > 1000 {
-			t.Fatal("64 MB were taken for a peer that reads nothing")
+			t.Fatal("64 MB were queued for a peer that reads nothing")
 		}
 	}
-	<-ev.closed
+	<-handler.closed
 }
 
-// A passed socket belongs to others too: one that leaves takes nothing more from it, keeps what it took in, and closes it for
-// nobody else.
-func TestPassedSocket(t *testing.T) {
+// An inherited socket is shared with other processes. A listener that stops accepting must leave new connections to them, keep
+// its open ones, and not close the socket for the others.
+func TestInheritedSocket(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -209,7 +213,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := Inherit(fd, 100, maxQueued, func(*Conn) Handler { return quiet{make(chan struct{})} })
+		l, err := Inherit(fd, 100, maxQueued, func(*Conn) Handler { return discardHandler{make(chan struct{})} })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -226,7 +230,7 @@
 	}
 	old := inherit()
 	dial()
-	for old.open.Load() != 1 {
+	for old.openConns.Load() != 1 {
 		time.Sleep(time.Millisecond)
 	}
 	old.StopAccepting()
@@ -234,16 +238,16 @@
 	defer next.Close()
 	for i := int64(1); i <= 20; i++ {
 		dial()
-		for next.open.Load() != i {
+		for next.openConns.Load() != i {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if n := old.open.Load(); n != 1 {
-		t.Errorf("the one that left holds %d connections, want the one it took in", n)
+	if n := old.openConns.Load(); n != 1 {
+		t.Errorf("the stopped listener has %d open connections, want the 1 that it accepted", n)
 	}
 	old.Close()
 	dial()
-	for next.open.Load() != 21 {
+	for next.openConns.Load() != 21 {
 		time.Sleep(time.Millisecond)
 	}
 }
