--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,8 +1,9 @@
-// Package agent is the core of the call agent. It deals in requests, attempts, outcomes and probes, and knows no
-// wire: a front brings calls in on the caller side, and carries attempts out on the far side.
+// Package agent is the core of the call agent. It handles calls, attempts, outcomes and load probes independently of
+// any wire protocol: front ends offer calls on the caller side and carry out attempts on the far-end side.
 //
-// Every decision is the module's (package tinbeam). What is mechanical is done here: deadlines, one final answer a
-// call, one attempt out, the release wait, and nothing fresh to a far end that drains or is gone.
+// Every decision is taken by the decision module (package tinbeam). This package enforces the mechanical rules: deadlines,
+// exactly one final answer for each call, at most one outstanding attempt for each call, the release delay between
+// attempts, and no new attempt to a far end that is draining or gone.
 package agent
 
 import (
@@ -21,64 +22,64 @@
 	"tinbeam/internal/metrics"
 )
 
-// Figures that are not policy: how the program keeps what the module has decided.
+// Constants of the mechanism that carries out decisions; they are not routing policy.
 const (
-	answerMargin = 15 * time.Millisecond  // a final answer leaves this much ahead of the caller's deadline
-	countEvery   = 200 * time.Millisecond // how often the gauges of the far ends are renewed
-	probeTimeout = 500 * time.Millisecond // a test without an answer has failed
-	callBytes    = 8 << 10                // what a call may cost in memory, all its parts; half of that limit is for calls
+	answerMargin  = 15 * time.Millisecond  // final answers are sent this long before the caller's deadline
+	gaugeInterval = 200 * time.Millisecond // how often the far-end gauges are updated
+	probeTimeout  = 500 * time.Millisecond // a load probe without an answer in this time has failed
+	bytesPerCall  = 8 << 10                // upper estimate of the memory of one call; half of the memory limit is for calls
 )
 
-// Caller is the side a call came from. A call gets exactly one of Answer and Refuse, and after an Answer one
-// Release unless the caller released it. The core never calls it for a call whose caller has left.
+// Caller is the front end that offered a call. Each call gets exactly one Answer or Refuse, and after an Answer one
+// Release, unless the caller released the call. The core calls none of them once the caller has left.
 type Caller interface {
 	Answer(c *Call, description string)
-	Refuse(c *Call, failed bool, pause time.Duration)
+	Refuse(c *Call, failed bool, retryAfter time.Duration)
 	Release(c *Call, cause int)
 }
 
-// FarEndSide is a side that attempts go out on. It calls Ended once for each SetUp that was not cancelled.
+// FarEndSide is a front end that carries out attempts. It calls Core.Ended once for each SetUp that was not cancelled.
 type FarEndSide interface {
 	SetUp(a *Attempt)
-	Cancel(a *Attempt)             // before the answer: whatever still waits to be written is taken back
-	Release(a *Attempt, cause int) // of an attempt that stands
+	Cancel(a *Attempt)             // before the answer; messages not yet written are withdrawn
+	Release(a *Attempt, cause int) // after the answer: releases the established call
 	Probe(id uint32)
 }
 
-// Hook sees events before the module does; Refuse may turn a call away. See package plugin.
+// Hook receives the events of calls. Refuse is asked before the decision module and may refuse a call. See package plugin.
 type Hook interface {
 	Refuse(c *Call) bool
 	Event(name string, c *Call)
 }
 
-// Call is one call from when it is taken until it is over.
+// Call is one call, from its offer to its end.
 type Call struct {
-	ID          string // in messages: 16 hex digits
-	Number      string // the number called, as written
-	Class       int
-	Description string // the caller's
-	NumberKey   uint64 // the number called, for the module
-	Width       float64
-	TimeLeft    time.Duration
-	Dest, Via   int
-	Flags       uint8
+	ID          string        // the ID used in messages: 16 hex digits
+	Number      string        // called number as the caller wrote it
+	Class       int           // index in Core.Settings.Classes
+	Description string        // session description of the caller
+	NumberKey   uint64        // called number as the decision module takes it
+	Width       float64       // circuits that the call takes on each group
+	TimeLeft    time.Duration // until the caller's deadline, at the time of the offer
+	Dest, Via   int           // as in tinbeam.Offer
+	Flags       uint8         // tinbeam.FlagRedial and the flags that follow it
 	Caller      Caller
-	Leg         any // the front's own
-
-	ref       uint32
-	taken     time.Duration
-	deadline  time.Duration
-	answered  bool // its one final answer has been given
-	standing  bool
-	out       *Attempt // out, or standing
-	tries     int
-	most      int // attempts; 0: not told
-	notBefore time.Duration
-	guard     *Timer
-}
-
-// NumberKey is a number called as the module knows it: its hex digits, or where it is written otherwise a hash of it, so that
-// the calls to any number are one stream. 0 is no number.
+	Leg         any // state that belongs to the front end of the caller
+
+	ref           uint32
+	offeredAt     time.Duration
+	deadline      time.Duration
+	answered      bool // the final answer has been given
+	established   bool
+	attempt       *Attempt // the outstanding attempt, or that of the established call
+	attempts      int
+	maxAttempts   int           // 0: no limit was given
+	notBefore     time.Duration // earliest time of the next attempt
+	deadlineTimer *Timer
+}
+
+// NumberKey returns the key of a called number for the decision module: the value of its hex digits, or a hash of the text
+// if it is not hexadecimal, so that all calls to one number share a key. 0 means no number.
 func NumberKey(number string) uint64 {
 	if n, err := strconv.ParseUint(number, 16, 64); err == nil || number == "" {
 		return n
@@ -88,87 +89,87 @@
 	return max(h.Sum64(), 1)
 }
 
-// Attempt is one set-up towards a far end.
+// Attempt is one call set-up attempt to a far end.
 type Attempt struct {
 	Call    *Call
-	Switch  uint32
-	Timeout time.Duration // how long it is waited for
-	Leg     any           // the front's own
+	Switch  uint32        // ID of the far end
+	Timeout time.Duration // how long to wait for the answer
+	Leg     any           // state that belongs to the front end of the far end
 
 	SentAt time.Duration
 
-	try   int
+	try   int // index among the attempts of its call
 	timer *Timer
 }
 
-// Established tells whether the call has been answered and is not over.
-func (k *Call) Established() bool { return k.standing }
+// Established reports whether the call has been answered and has not ended.
+func (k *Call) Established() bool { return k.established }
 
-// Established tells whether its call stands.
-func (a *Attempt) Established() bool { return a.Call.standing }
+// Established reports whether the call of the attempt is established.
+func (a *Attempt) Established() bool { return a.Call.established }
 
-// Core owns the Controller and the table of calls. All its methods run on its loop.
+// Core owns the Controller and the table of open calls. All its methods must run on its loop.
 type Core struct {
 	*Loop
-	Settings tinbeam.Settings
-	most     int // calls held at once; what is beyond is refused before the module sees it
-	Metrics  *metrics.Set
-	log      *zap.Logger
-	ctl      *tinbeam.Controller
-	hook     Hook
-
-	next   uint32
-	calls  map[uint32]*Call
-	places map[uint32]*place
-	probes map[uint32]*Timer
-	events []tinbeam.Event // to be told to the module next
-	busy   bool
-	owed   int
-}
-
-// place is a far end as the list has it.
-type place struct {
-	far   FarEndSide
+	Settings   tinbeam.Settings
+	maxCalls   int // limit on open calls; further calls are refused without asking the decision module
+	Metrics    *metrics.Set
+	log        *zap.Logger
+	controller *tinbeam.Controller
+	hook       Hook
+
+	lastRef     uint32
+	calls       map[uint32]*Call
+	farEnds     map[uint32]*farEnd
+	probeTimers map[uint32]*Timer
+	queued      []tinbeam.Event // events waiting to be passed to the decision module
+	notifying   bool            // an event is being handled
+	pending     int             // calls that are waiting for their final answer
+}
+
+// farEnd is one entry of the far-end list and the side that serves it.
+type farEnd struct {
+	side  FarEndSide
 	entry tinbeam.Entry
 }
 
-// New makes a core that knows no far end. The calls it holds at once are bounded by the limit on memory, in bytes.
-func New(loop *Loop, set tinbeam.Settings, seed uint64, memory int, m *metrics.Set, log *zap.Logger, hook Hook) *Core {
-	c := &Core{Loop: loop, Settings: set, most: memory / 2 / callBytes, Metrics: m, log: log, hook: hook,
-		ctl:   tinbeam.New(set, seed),
-		calls: map[uint32]*Call{}, places: map[uint32]*place{}, probes: map[uint32]*Timer{}}
-	for _, k := range set.Classes {
-		m.Class(k.Name) // shown from the first on, at zero
+// New returns a core with an empty far-end list. The memory limit, in bytes, bounds the number of open calls.
+func New(loop *Loop, settings tinbeam.Settings, seed uint64, memory int, m *metrics.Set, log *zap.Logger, hook Hook) *Core {
+	c := &Core{Loop: loop, Settings: settings, maxCalls: memory / 2 / bytesPerCall, Metrics: m, log: log, hook: hook,
+		controller: tinbeam.New(settings, seed),
+		calls:      map[uint32]*Call{}, farEnds: map[uint32]*farEnd{}, probeTimers: map[uint32]*Timer{}}
+	for _, k := range settings.Classes {
+		m.Class(k.Name) // exports the counters of the class at zero from the start
 	}
-	var count func()
-	count = func() {
-		c.count()
-		loop.After(countEvery, count)
+	var update func()
+	update = func() {
+		c.updateGauges()
+		loop.After(gaugeInterval, update)
 	}
-	loop.After(0, count)
+	loop.After(0, update)
 	return c
 }
 
-// count renews the gauges of the far ends.
-func (c *Core) count() {
+// updateGauges updates the gauges that count far ends.
+func (c *Core) updateGauges() {
 	listed := 0
-	for _, p := range c.places {
-		if p.entry.Mode != tinbeam.Gone {
+	for _, f := range c.farEnds {
+		if f.entry.Mode != tinbeam.Gone {
 			listed++
 		}
 	}
 	c.Metrics.FarEndsListed.Set(int64(listed))
-	c.guarded(c.ctl, func() { c.Metrics.FarEndsAvoided.Set(int64(c.ctl.UnresponsiveCount())) })
+	c.recoverPanic(c.controller, func() { c.Metrics.FarEndsAvoided.Set(int64(c.controller.UnresponsiveCount())) })
 }
 
-// Retune takes other settings. What is open keeps its class, so a class that is changed or dropped keeps its place in the
-// table as long as a call has it, and is retired.
-func (c *Core) Retune(set tinbeam.Settings) {
+// Retune applies new settings. Open calls keep their class: a class that was changed or removed is marked as retired and
+// keeps its index in the table until no call uses it.
+func (c *Core) Retune(settings tinbeam.Settings) {
 	used := map[int]bool{}
 	for _, k := range c.calls {
 		used[k.Class] = true
-		if set.MaxAttempts > 0 && (k.most == 0 || set.MaxAttempts < k.most) {
-			k.most = set.MaxAttempts
+		if settings.MaxAttempts > 0 && (k.maxAttempts == 0 || settings.MaxAttempts < k.maxAttempts) {
+			k.maxAttempts = settings.MaxAttempts
 		}
 	}
 	pools := func(s *tinbeam.Settings, i int) []int {
@@ -179,19 +180,19 @@
 	}
 	old := c.Settings
 	classes, allowed := slices.Clone(old.Classes), make([][]int, len(old.Classes))
-	place := map[int]int{} // of the new ones, by place in the table
+	index := map[int]int{} // index in the new table, by index in the new settings
 	for i := range classes {
 		allowed[i] = pools(&old, i)
-		j := slices.Index(set.Classes, classes[i])
-		if j >= 0 && slices.Equal(allowed[i], pools(&set, j)) {
-			place[j] = i
+		j := slices.Index(settings.Classes, classes[i])
+		if j >= 0 && slices.Equal(allowed[i], pools(&settings, j)) {
+			index[j] = i
 			continue
 		}
 		classes[i].Retired = true
 	}
-	for j, k := range set.Classes {
+	for j, k := range settings.Classes {
 		c.Metrics.Class(k.Name)
-		if _, same := place[j]; same {
+		if _, same := index[j]; same {
 			continue
 		}
 		i := 0
@@ -201,56 +202,56 @@
 		if i == len(classes) {
 			classes, allowed = append(classes, k), append(allowed, nil)
 		}
-		classes[i], allowed[i] = k, pools(&set, j)
+		classes[i], allowed[i] = k, pools(&settings, j)
 	}
-	set.Classes, set.AllowedPools = classes, allowed
-	c.Settings = set
-	c.tell(tinbeam.Retune{Settings: set})
+	settings.Classes, settings.AllowedPools = classes, allowed
+	c.Settings = settings
+	c.notify(tinbeam.Retune{Settings: settings})
 }
 
-// ClassIndex is the place of a class in the settings; -1: none has that name.
+// ClassIndex returns the index of the class with this name in the settings, or -1 if there is none.
 func (c *Core) ClassIndex(name string) int {
 	return slices.IndexFunc(c.Settings.Classes, func(k tinbeam.Class) bool { return !k.Retired && k.Name == name })
 }
 
-// class is the counters of a call's class.
-func (c *Core) class(k *Call) *metrics.Class {
-	return c.Metrics.Class(c.Settings.Classes[k.Class].Name)
-}
+// stat returns the counters of the call's class.
+func (c *Core) stat(k *Call) *metrics.Class { return c.Metrics.Class(c.Settings.Classes[k.Class].Name) }
 
-// tell tells the module events, the oldest first, and does what it asks for. What happens meanwhile waits its turn.
-func (c *Core) tell(ev ...tinbeam.Event) {
-	c.events = append(c.events, ev...)
-	if c.busy {
+// notify passes events to the decision module, oldest first, and carries out the actions that it returns. Events that
+// arise from these actions are queued and handled before notify returns.
+func (c *Core) notify(events ...tinbeam.Event) {
+	c.queued = append(c.queued, events...)
+	if c.notifying {
 		return
 	}
-	c.busy = true
-	defer func() { c.busy = false }()
-	for len(c.events) > 0 {
-		e := c.events[0]
-		c.events = c.events[1:]
+	c.notifying = true
+	defer func() { c.notifying = false }()
+	for len(c.queued) > 0 {
+		e := c.queued[0]
+		c.queued = c.queued[1:]
 		for _, a := range c.decide(e) {
-			c.act(a)
+			c.execute(a)
 		}
 	}
-	c.events = nil
+	c.queued = nil
 }
 
-// decide asks the module what is to be done.
-func (c *Core) decide(e tinbeam.Event) (acts []tinbeam.Action) {
-	if !c.guarded(e, func() { acts = c.ctl.Handle(c.Now(), e, nil) }) {
-		acts = []tinbeam.Action{tinbeam.Schedule{After: 20 * time.Millisecond, Handle: 1}}
+// decide passes one event to the decision module and returns its actions. After a panic it schedules a tick instead.
+func (c *Core) decide(e tinbeam.Event) (actions []tinbeam.Action) {
+	if !c.recoverPanic(e, func() { actions = c.controller.Handle(c.Now(), e, nil) }) {
+		actions = []tinbeam.Action{tinbeam.Schedule{After: 20 * time.Millisecond, Handle: 1}}
 	}
-	return acts
+	return actions
 }
 
-// guarded guards against a fault of the module: it is counted and told, and the calls it concerns get their answer at
-// their deadline. It tells whether there was none.
-func (c *Core) guarded(what any, fn func()) (ok bool) {
+// recoverPanic calls fn and recovers from a panic of the decision module, so that a bug there does not stop the process:
+// the panic is counted and logged, and the calls concerned are answered at their deadlines. It reports whether fn
+// returned without a panic.
+func (c *Core) recoverPanic(what any, fn func()) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.Metrics.Panics.Inc()
-			c.log.Error("decision failed", zap.Any("panic", p), zap.String("event", fmt.Sprintf("%T", what)),
+			c.log.Error("panic in the decision module", zap.Any("panic", p), zap.String("event", fmt.Sprintf("%T", what)),
 				zap.ByteString("stack", debug.Stack()))
 			ok = false
 		}
@@ -259,7 +260,7 @@
 	return true
 }
 
-func (c *Core) act(a tinbeam.Action) {
+func (c *Core) execute(a tinbeam.Action) {
 	switch a := a.(type) {
 	case tinbeam.Attempt:
 		c.setUp(a)
@@ -272,13 +273,13 @@
 			c.refuse(k, true, 0)
 		}
 	case tinbeam.Withdraw:
-		if k := c.calls[a.Ref]; k != nil && k.out != nil && k.out.try == a.Try && !k.standing {
-			at := k.out
-			c.places[at.Switch].far.Cancel(at)
-			c.Ended(at, tinbeam.Cancelled, 0, nil, 0)
+		if k := c.calls[a.Ref]; k != nil && k.attempt != nil && k.attempt.try == a.Try && !k.established {
+			attempt := k.attempt
+			c.farEnds[attempt.Switch].side.Cancel(attempt)
+			c.Ended(attempt, tinbeam.Cancelled, 0, nil, 0)
 		}
 	case tinbeam.Schedule:
-		c.After(a.After, func() { c.tell(tinbeam.TickDue{Handle: a.Handle}) })
+		c.After(a.After, func() { c.notify(tinbeam.TickDue{Handle: a.Handle}) })
 	case tinbeam.AskLoad:
 		c.probe(a.Switch)
 	case tinbeam.Note:
@@ -286,23 +287,23 @@
 	case tinbeam.BailOut:
 		c.log.Error(a.Text)
 	case tinbeam.Lookup, tinbeam.StreamChanges:
-		// The change log is followed all the time.
+		// Nothing to do: the change log is always followed.
 	default:
-		invariant.Check(false, c.Metrics.Violations, "action %T is known", a)
+		invariant.Check(false, c.Metrics.Violations, "action %T has a known type", a)
 	}
 }
 
-// Offer takes a call. Left counts from now.
+// Offer accepts a call for handling. Its TimeLeft counts from now.
 func (c *Core) Offer(k *Call) {
 	c.Metrics.Offered.Inc()
-	k.taken, k.deadline, k.most = c.Now(), c.Now()+max(k.TimeLeft, 0), c.Settings.MaxAttempts
-	c.owed++
-	c.Metrics.Pending.Set(int64(c.owed))
-	c.next++
-	k.ref = c.next
+	k.offeredAt, k.deadline, k.maxAttempts = c.Now(), c.Now()+max(k.TimeLeft, 0), c.Settings.MaxAttempts
+	c.pending++
+	c.Metrics.Pending.Set(int64(c.pending))
+	c.lastRef++
+	k.ref = c.lastRef
 	c.calls[k.ref] = k
 	switch {
-	case len(c.calls) > c.most:
+	case len(c.calls) > c.maxCalls:
 		c.refuse(k, false, c.Settings.MaxRetryAfter)
 		return
 	case c.hook != nil && c.hook.Refuse(k):
@@ -310,55 +311,57 @@
 		c.refuse(k, false, c.Settings.MaxRetryAfter)
 		return
 	}
-	// Guards against a module that keeps a call too long, whatever the cause: its caller gets an answer.
-	k.guard = c.At(max(k.deadline-answerMargin+2*time.Millisecond, c.Now()), func() {
+	// Without this timer, a call that the decision module keeps too long, for whatever reason, would get no answer
+	// before its deadline.
+	k.deadlineTimer = c.At(max(k.deadline-answerMargin+2*time.Millisecond, c.Now()), func() {
 		c.Fail(k)
 	})
-	c.tell(tinbeam.Offer{Ref: k.ref, Class: k.Class, Number: k.NumberKey, Width: k.Width, TimeLeft: max(k.TimeLeft, 0),
+	c.notify(tinbeam.Offer{Ref: k.ref, Class: k.Class, Number: k.NumberKey, Width: k.Width, TimeLeft: max(k.TimeLeft, 0),
 		Dest: k.Dest, Flags: k.Flags, Via: k.Via})
 }
 
-// final gives up the claim to the one final answer of a call; false: it has been given.
-func (c *Core) final(k *Call) bool {
+// claimFinalAnswer marks the call as answered and stops its deadline timer. It returns false if the final answer has
+// already been given.
+func (c *Core) claimFinalAnswer(k *Call) bool {
 	if k.answered {
 		return false
 	}
 	k.answered = true
-	c.Stop(k.guard)
-	c.owed--
-	c.Metrics.Pending.Set(int64(c.owed))
+	c.Stop(k.deadlineTimer)
+	c.pending--
+	c.Metrics.Pending.Set(int64(c.pending))
 	return true
 }
 
-func (c *Core) refuse(k *Call, failed bool, pause time.Duration) {
-	if !c.final(k) {
+func (c *Core) refuse(k *Call, failed bool, retryAfter time.Duration) {
+	if !c.claimFinalAnswer(k) {
 		return
 	}
-	if at := k.out; at != nil { // only where the guard of the deadline struck
-		c.drop(at)
-		c.places[at.Switch].far.Cancel(at)
+	if attempt := k.attempt; attempt != nil { // only if the deadline timer fired
+		c.detach(attempt)
+		c.farEnds[attempt.Switch].side.Cancel(attempt)
 	}
 	delete(c.calls, k.ref)
 	if failed {
 		c.Metrics.Failed.Inc()
-		c.class(k).Failed.Inc()
+		c.stat(k).Failed.Inc()
 	} else {
 		c.Metrics.Refused.Inc()
 		c.CountRefused(k)
 	}
 	if e := c.log.Check(zap.DebugLevel, "refused"); e != nil {
 		e.Write(zap.String("call", k.ID), zap.Int("dest", k.Dest), zap.Int("class", k.Class), zap.Float64("width", k.Width),
-			zap.Uint8("marks", k.Flags), zap.Int("tries", k.tries), zap.Duration("after", c.Now()-k.taken),
+			zap.Uint8("marks", k.Flags), zap.Int("tries", k.attempts), zap.Duration("after", c.Now()-k.offeredAt),
 			zap.Bool("failed", failed))
 	}
-	k.Caller.Refuse(k, failed, pause)
-	c.see("refused", k)
+	k.Caller.Refuse(k, failed, retryAfter)
+	c.notifyHook("refused", k)
 }
 
-// CountRefused counts a call of its class that was refused; one that is refused at the door is so, and never was offered.
-func (c *Core) CountRefused(k *Call) { c.class(k).Refused.Inc() }
+// CountRefused counts a refused call in its class. Front ends use it for calls that they refuse without offering them.
+func (c *Core) CountRefused(k *Call) { c.stat(k).Refused.Inc() }
 
-func (c *Core) see(name string, k *Call) {
+func (c *Core) notifyHook(name string, k *Call) {
 	if c.hook != nil {
 		c.hook.Event(name, k)
 	}
@@ -369,18 +372,18 @@
 	if k == nil || k.answered {
 		return
 	}
-	try := k.tries
-	k.tries++
-	p := c.places[a.Switch]
-	moot := func() {
-		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.NotAttempted})
+	try := k.attempts
+	k.attempts++
+	f := c.farEnds[a.Switch]
+	notAttempted := func() {
+		c.notify(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.NotAttempted})
 	}
 	v := c.Metrics.Violations
-	if !invariant.Check(k.out == nil, v, "call %s has no other attempt out", k.ID) ||
-		!invariant.Check(c.Now() >= k.notBefore, v, "call %s: the release is awaited", k.ID) ||
-		!invariant.Check(k.most == 0 || k.tries <= k.most, v, "call %s: tries are left", k.ID) ||
-		!invariant.Check(p != nil && p.entry.Mode == tinbeam.Ready, v, "far end %08x is ready", a.Switch) {
-		moot()
+	if !invariant.Check(k.attempt == nil, v, "call %s has no other outstanding attempt", k.ID) ||
+		!invariant.Check(c.Now() >= k.notBefore, v, "call %s: the release delay has passed", k.ID) ||
+		!invariant.Check(k.maxAttempts == 0 || k.attempts <= k.maxAttempts, v, "call %s: the limit on attempts is kept", k.ID) ||
+		!invariant.Check(f != nil && f.entry.Mode == tinbeam.Ready, v, "far end %08x is ready", a.Switch) {
+		notAttempted()
 		return
 	}
 	left := k.deadline - answerMargin - c.Now()
@@ -388,69 +391,71 @@
 		left = min(left, a.Timeout)
 	}
 	if left <= 0 {
-		c.tell(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.TimedOut})
+		c.notify(tinbeam.Outcome{Ref: k.ref, Try: try, Switch: a.Switch, Code: tinbeam.TimedOut})
 		return
 	}
-	at := &Attempt{Call: k, Switch: a.Switch, Timeout: left, try: try, SentAt: c.Now()}
-	k.out = at
+	attempt := &Attempt{Call: k, Switch: a.Switch, Timeout: left, try: try, SentAt: c.Now()}
+	k.attempt = attempt
 	c.Metrics.Attempts.Inc()
-	at.timer = c.After(left, func() {
-		p.far.Cancel(at)
-		c.Ended(at, tinbeam.TimedOut, 0, nil, 0)
+	attempt.timer = c.After(left, func() {
+		f.side.Cancel(attempt)
+		c.Ended(attempt, tinbeam.TimedOut, 0, nil, 0)
 	})
-	p.far.SetUp(at)
-	c.see("attempt", k)
+	f.side.SetUp(attempt)
+	c.notifyHook("attempt", k)
 }
 
-// drop takes an attempt off its call.
-func (c *Core) drop(at *Attempt) {
-	c.Stop(at.timer)
-	at.Call.out = nil
+// detach stops the timer of an attempt and removes it from its call.
+func (c *Core) detach(attempt *Attempt) {
+	c.Stop(attempt.timer)
+	attempt.Call.attempt = nil
 }
 
-// Answered tells that an attempt was answered: the call stands.
-func (c *Core) Answered(at *Attempt, description string) {
-	k := at.Call
-	if k.out != at || k.standing {
-		c.Metrics.StrayMessages.Inc() // it crossed what ended the attempt, or came twice
+// Answered handles the answer to an attempt: the call is now established.
+func (c *Core) Answered(attempt *Attempt, description string) {
+	k := attempt.Call
+	if k.attempt != attempt || k.established {
+		c.Metrics.StrayMessages.Inc() // it crossed the end of the attempt, or is a duplicate
 		return
 	}
-	c.Stop(at.timer)
-	if !invariant.Check(c.final(k), c.Metrics.Violations, "call %s: an attempt is out, so no answer was given", k.ID) {
+	c.Stop(attempt.timer)
+	if !invariant.Check(c.claimFinalAnswer(k), c.Metrics.Violations,
+		"call %s: no final answer was given while an attempt is outstanding", k.ID) {
 		return
 	}
-	k.standing = true
+	k.established = true
 	c.Metrics.Answered.Inc()
-	c.class(k).Answered.Inc()
+	c.stat(k).Answered.Inc()
 	c.Metrics.Established.Add(1)
 	k.Caller.Answer(k, description)
-	c.tell(tinbeam.Flowing{Ref: k.ref, Try: at.try, Switch: at.Switch, Took: c.Now() - at.SentAt})
-	c.see("answered", k)
+	c.notify(tinbeam.Flowing{Ref: k.ref, Try: attempt.try, Switch: attempt.Switch, Took: c.Now() - attempt.SentAt})
+	c.notifyHook("answered", k)
 }
 
-// Ended tells how an attempt ended, standing or not. The cause is for the release towards the caller.
-func (c *Core) Ended(at *Attempt, code tinbeam.Code, note uint32, report []float32, cause int) {
-	k := at.Call
-	if k.out != at {
+// Ended handles the end of an attempt, whether or not its call was established. The cause is passed on in the release to
+// the caller.
+func (c *Core) Ended(attempt *Attempt, code tinbeam.Code, note uint32, report []float32, cause int) {
+	k := attempt.Call
+	if k.attempt != attempt {
 		c.Metrics.StrayMessages.Inc()
 		return
 	}
-	c.drop(at)
-	over := k.answered
-	if k.standing {
-		c.over(k)
+	c.detach(attempt)
+	final := k.answered
+	if k.established {
+		c.endCall(k)
 		k.Caller.Release(k, cause)
 	} else {
-		c.ending(code)
+		c.countEnded(code)
 	}
 	if code == tinbeam.TimedOut || code == tinbeam.Reset || code == tinbeam.Cancelled {
 		k.notBefore = c.Now() + c.Settings.ReleaseDelay
 	}
-	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: over, Note: note, Took: c.Now() - at.SentAt,
-		Switch: at.Switch, Code: code, Report: report})
+	c.notify(tinbeam.Outcome{Ref: k.ref, Try: attempt.try, Final: final, Note: note, Took: c.Now() - attempt.SentAt,
+		Switch: attempt.Switch, Code: code, Report: report})
 }
 
-func (c *Core) ending(code tinbeam.Code) {
+func (c *Core) countEnded(code tinbeam.Code) {
 	switch code {
 	case tinbeam.Full, tinbeam.NotAttempted:
 		c.Metrics.AttemptsFull.Inc()
@@ -465,125 +470,127 @@
 	}
 }
 
-// over ends a standing call.
-func (c *Core) over(k *Call) {
-	k.standing = false
+// endCall ends an established call.
+func (c *Core) endCall(k *Call) {
+	k.established = false
 	delete(c.calls, k.ref)
 	c.Metrics.Established.Add(-1)
 	c.Metrics.Released.Inc()
-	c.see("released", k)
+	c.notifyHook("released", k)
 }
 
-// Abandoned tells that the caller of a call has left: it gave the set-up up, or its connection ended.
+// Abandoned handles a caller that left before the final answer: it cancelled the set-up, or its connection was closed.
 func (c *Core) Abandoned(k *Call) {
-	if !c.final(k) {
+	if !c.claimFinalAnswer(k) {
 		return
 	}
 	c.Metrics.Abandoned.Inc()
 	delete(c.calls, k.ref)
-	at := k.out
-	c.tell(tinbeam.Withdrawn{Ref: k.ref})
-	if at != nil {
-		c.drop(at)
-		c.places[at.Switch].far.Cancel(at)
-		c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: true, Took: c.Now() - at.SentAt,
-			Switch: at.Switch, Code: tinbeam.Cancelled})
+	attempt := k.attempt
+	c.notify(tinbeam.Withdrawn{Ref: k.ref})
+	if attempt != nil {
+		c.detach(attempt)
+		c.farEnds[attempt.Switch].side.Cancel(attempt)
+		c.notify(tinbeam.Outcome{Ref: k.ref, Try: attempt.try, Final: true, Took: c.Now() - attempt.SentAt,
+			Switch: attempt.Switch, Code: tinbeam.Cancelled})
 	}
-	c.see("abandoned", k)
+	c.notifyHook("abandoned", k)
 }
 
-// Hangup tells that the caller has released a call that stands.
+// Hangup handles the release of an established call by its caller.
 func (c *Core) Hangup(k *Call, cause int) {
-	at := k.out
-	if !k.standing || at == nil {
+	attempt := k.attempt
+	if !k.established || attempt == nil {
 		c.Metrics.Duplicates.Inc()
 		return
 	}
-	c.drop(at)
-	c.over(k)
-	c.places[at.Switch].far.Release(at, cause)
-	c.tell(tinbeam.Outcome{Ref: k.ref, Try: at.try, Final: true, Took: c.Now() - at.SentAt, Switch: at.Switch,
+	c.detach(attempt)
+	c.endCall(k)
+	c.farEnds[attempt.Switch].side.Release(attempt, cause)
+	c.notify(tinbeam.Outcome{Ref: k.ref, Try: attempt.try, Final: true, Took: c.Now() - attempt.SentAt, Switch: attempt.Switch,
 		Code: tinbeam.Cancelled})
 }
 
-// UpdateFarEnds brings an event of the list of one far side. To the module all sides are one list, so a whole list of one
-// side is completed with what the others have.
-func (c *Core) UpdateFarEnds(version uint64, kind tinbeam.ListKind, entries []tinbeam.Entry, far FarEndSide) {
-	c.purge()
+// UpdateFarEnds applies an update of the far-end list from one side. The decision module has a single list for all sides,
+// so a full list from one side is extended by the far ends of the others.
+func (c *Core) UpdateFarEnds(version uint64, kind tinbeam.ListKind, entries []tinbeam.Entry, side FarEndSide) {
+	c.purgeGone()
 	listed := map[uint32]bool{}
 	for _, e := range entries {
 		listed[e.Switch] = true
-		c.places[e.Switch] = &place{far, e}
+		c.farEnds[e.Switch] = &farEnd{side, e}
 	}
 	if kind != tinbeam.ListDelta {
 		entries = slices.Clone(entries)
-		for _, id := range slices.Sorted(maps.Keys(c.places)) {
-			p := c.places[id]
-			if !listed[id] && p.far == far {
-				p.entry.Mode = tinbeam.Gone
+		for _, id := range slices.Sorted(maps.Keys(c.farEnds)) {
+			f := c.farEnds[id]
+			if !listed[id] && f.side == side {
+				f.entry.Mode = tinbeam.Gone
 			} else if !listed[id] {
-				entries = append(entries, p.entry)
+				entries = append(entries, f.entry)
 			}
 		}
 	}
-	c.tell(tinbeam.Topology{Version: version, Kind: kind, Entries: entries})
-	c.count()
+	c.notify(tinbeam.Topology{Version: version, Kind: kind, Entries: entries})
+	c.updateGauges()
 }
 
-// purge forgets the far ends that were gone before: their ids do not come again, and on a long day there are ever more.
-func (c *Core) purge() {
+// purgeGone removes far ends that were already gone before this update. IDs of far ends are never reused, so without this
+// the table would grow without limit.
+func (c *Core) purgeGone() {
 	used := map[uint32]bool{}
 	for _, k := range c.calls {
-		if k.out != nil {
-			used[k.out.Switch] = true
+		if k.attempt != nil {
+			used[k.attempt.Switch] = true
 		}
 	}
-	for id, p := range c.places {
-		if p.entry.Mode == tinbeam.Gone && !used[id] {
-			delete(c.places, id)
+	for id, f := range c.farEnds {
+		if f.entry.Mode == tinbeam.Gone && !used[id] {
+			delete(c.farEnds, id)
 		}
 	}
 }
 
-// Mode is the state of a far end in the list.
+// Mode returns the state of a far end in the list; one that is not listed is gone.
 func (c *Core) Mode(id uint32) tinbeam.Mode {
-	if p := c.places[id]; p != nil {
-		return p.entry.Mode
+	if f := c.farEnds[id]; f != nil {
+		return f.entry.Mode
 	}
 	return tinbeam.Gone
 }
 
-// Report brings an unasked report of the state of a group.
+// Report passes an unsolicited report of the state of a circuit group to the decision module.
 func (c *Core) Report(id uint32, report []float32) {
 	c.Metrics.Reports.Inc()
-	c.tell(tinbeam.Sampled{Switch: id, Code: tinbeam.OK, Report: report})
+	c.notify(tinbeam.Sampled{Switch: id, Code: tinbeam.OK, Report: report})
 }
 
 func (c *Core) probe(id uint32) {
-	p := c.places[id]
-	if p == nil || c.probes[id] != nil {
+	f := c.farEnds[id]
+	if f == nil || c.probeTimers[id] != nil {
 		return
 	}
 	c.Metrics.Probes.Inc()
-	c.probes[id] = c.After(probeTimeout, func() { c.Probed(id, tinbeam.TimedOut, probeTimeout, nil) })
-	p.far.Probe(id)
+	c.probeTimers[id] = c.After(probeTimeout, func() { c.Probed(id, tinbeam.TimedOut, probeTimeout, nil) })
+	f.side.Probe(id)
 }
 
-// Probed brings the answer to a test.
+// Probed handles the result of a load probe.
 func (c *Core) Probed(id uint32, code tinbeam.Code, took time.Duration, report []float32) {
-	t := c.probes[id]
+	t := c.probeTimers[id]
 	if t == nil {
-		return // too late, or a test of the front's own
+		return // too late, or the result of a health check that the front end sent by itself
 	}
 	c.Stop(t)
-	delete(c.probes, id)
+	delete(c.probeTimers, id)
 	if report != nil {
 		c.Metrics.Reports.Inc()
 	}
-	c.tell(tinbeam.Sampled{Switch: id, Code: code, Took: max(took, time.Microsecond), Report: report})
+	c.notify(tinbeam.Sampled{Switch: id, Code: code, Took: max(took, time.Microsecond), Report: report})
 }
 
-// FailPending gives every call that is owed one its final answer: there is no more time. What stands goes on.
+// FailPending answers every call that is waiting for its final answer as failed, for a shutdown that has run out of time.
+// Established calls continue.
 func (c *Core) FailPending() {
 	for _, ref := range slices.Sorted(maps.Keys(c.calls)) {
 		if k := c.calls[ref]; k != nil {
@@ -592,17 +599,17 @@
 	}
 }
 
-// Fail gives a call that is owed one its final answer: it failed.
+// Fail answers a call that is still waiting for its final answer as failed, and counts the answer as late.
 func (c *Core) Fail(k *Call) {
 	if !k.answered {
 		c.Metrics.LateAnswers.Inc()
 		c.refuse(k, true, 0)
-		c.tell(tinbeam.Withdrawn{Ref: k.ref})
+		c.notify(tinbeam.Withdrawn{Ref: k.ref})
 	}
 }
 
-// PendingCalls is how many calls wait for their final answer.
-func (c *Core) PendingCalls() int { return c.owed }
+// PendingCalls returns the number of calls that are waiting for their final answer.
+func (c *Core) PendingCalls() int { return c.pending }
 
-// OpenCalls is how many calls wait for their final answer or stand.
+// OpenCalls returns the number of calls that are waiting for their final answer or established.
 func (c *Core) OpenCalls() int { return len(c.calls) }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Timer is something due on the core's goroutine.
+// Timer is a function due at a certain time on the loop's goroutine.
 type Timer struct {
 	at    time.Duration
 	seq   uint64
@@ -15,15 +15,15 @@
 	fn    func()
 }
 
-type timers []*Timer
+type timerHeap []*Timer
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
+func (t timerHeap) Len() int { return len(t) }
+func (t timerHeap) Less(i, j int) bool {
 	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].seq < t[j].seq
 }
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i]; t[i].index, t[j].index = i, j }
-func (t *timers) Push(x any)   { x.(*Timer).index = len(*t); *t = append(*t, x.(*Timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i]; t[i].index, t[j].index = i, j }
+func (t *timerHeap) Push(x any)   { x.(*Timer).index = len(*t); *t = append(*t, x.(*Timer)) }
+func (t *timerHeap) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -31,69 +31,73 @@
 	return x
 }
 
-// Loop is the one goroutine on which the core and all that the fronts know live: a queue of events that
-// callbacks fill, and one heap of timers. Nothing in it is locked, since nothing else touches it.
+// Loop runs the core and the state of all front ends on a single goroutine: it has a queue of events, filled by callbacks,
+// and a heap of timers. Only this goroutine touches that state, so none of it is locked.
 type Loop struct {
 	clock  func() time.Duration
 	now    time.Duration
 	queue  chan func()
-	timers timers
+	timers timerHeap
 	seq    uint64
 
-	mu   sync.Mutex
-	ends []func() // what found the queue full and cannot wait for it
+	mu       sync.Mutex
+	overflow []func() // events posted without blocking while the queue was full
 }
 
-// queueMost bounds the queue of events. A callback that finds it full waits, and so its peer does: a flood is
-// held back by the sockets' own buffers and no event is lost.
-const queueMost = 4096
+// maxQueued is the capacity of the event queue. A callback that finds the queue full blocks, and so in turn does its peer:
+// a flood of messages is held back by the socket buffers, and no event is lost.
+const maxQueued = 4096
 
-// NewLoop makes a loop on a clock, which counts from the Unix epoch.
+// NewLoop returns a loop driven by the given clock, which counts from the Unix epoch.
 func NewLoop(clock func() time.Duration) *Loop {
-	return &Loop{clock: clock, now: clock(), queue: make(chan func(), queueMost)}
+	return &Loop{clock: clock, now: clock(), queue: make(chan func(), maxQueued)}
 }
 
-// SystemClock is the system's clock at its start carried on by the monotonic one: it never steps back.
+// SystemClock returns a clock that starts at the current system time and advances with the monotonic clock, so that it never
+// steps back.
 func SystemClock() func() time.Duration {
 	start := time.Now()
 	unix := time.Duration(start.UnixNano())
 	return func() time.Duration { return unix + time.Since(start) }
 }
 
-// Post queues an event. It is the only method that other goroutines may call.
+// Post queues an event and blocks while the queue is full. Other goroutines may call only this method and
+// PostNonBlocking.
 func (l *Loop) Post(fn func()) { l.queue <- fn }
 
-// PostNonBlocking queues the end of something that has one end, as a connection. It never waits. Guards against a loop that waits
-// for itself: it may be the loop that closed the connection, with the queue full. What is queued there comes ahead.
+// PostNonBlocking queues an event that occurs at most once for its source, such as the end of a connection, and never
+// blocks. The loop may itself close a connection while the queue is full; with Post it would then wait for itself forever.
+// The event is handled after those already in the queue.
 func (l *Loop) PostNonBlocking(fn func()) {
 	select {
 	case l.queue <- fn:
 	default:
 		l.mu.Lock()
-		l.ends = append(l.ends, fn)
+		l.overflow = append(l.overflow, fn)
 		l.mu.Unlock()
 	}
 }
 
-// late handles the ends that the queue had no room for, once it is empty.
-func (l *Loop) late() bool {
+// runOverflow handles the events that did not fit into the queue, and reports whether there were any. Step calls it once the
+// queue is empty.
+func (l *Loop) runOverflow() bool {
 	l.mu.Lock()
-	ends := l.ends
-	l.ends = nil
+	events := l.overflow
+	l.overflow = nil
 	l.mu.Unlock()
-	for _, fn := range ends {
+	for _, fn := range events {
 		fn()
 	}
-	return len(ends) > 0
+	return len(events) > 0
 }
 
-// Queued is how many events wait.
+// Queued returns the length of the event queue.
 func (l *Loop) Queued() int { return len(l.queue) }
 
-// Now is the time of the event being handled.
+// Now returns the time at which the current event is handled.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// At asks for fn at a time.
+// At schedules fn for a point in time.
 func (l *Loop) At(at time.Duration, fn func()) *Timer {
 	l.seq++
 	t := &Timer{at: at, seq: l.seq, fn: fn}
@@ -101,17 +105,17 @@
 	return t
 }
 
-// After asks for fn in a while.
+// After schedules fn to run after d.
 func (l *Loop) After(d time.Duration, fn func()) *Timer { return l.At(l.now+d, fn) }
 
-// Stop takes a timer back; a nil or spent one is left alone.
+// Stop cancels a timer. It does nothing if the timer is nil, has fired or was stopped before.
 func (l *Loop) Stop(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
 }
 
-// Step handles what is queued and due now, and tells when the next timer is due.
+// Step handles all queued events and due timers, and returns the time of the next timer, if there is one.
 func (l *Loop) Step() (next time.Duration, any bool) {
 	for {
 		l.now = max(l.now, l.clock())
@@ -125,7 +129,7 @@
 			continue
 		default:
 		}
-		if l.late() {
+		if l.runOverflow() {
 			continue
 		}
 		if len(l.timers) == 0 {
@@ -135,21 +139,21 @@
 	}
 }
 
-// Run handles events until the context ends.
+// Run handles events and timers until the context is done.
 func (l *Loop) Run(ctx context.Context) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for ctx.Err() == nil {
 		wait := time.Second
 		if next, ok := l.Step(); ok {
 			wait = min(wait, max(next-l.clock(), 0))
 		}
-		alarm.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case fn := <-l.queue:
 			l.now = max(l.now, l.clock())
 			fn()
-		case <-alarm.C:
+		case <-timer.C:
 		case <-ctx.Done():
 		}
 	}
