--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -58,13 +58,13 @@
 	Number      string        // called number as the caller wrote it
 	Class       int           // index in Core.Settings.Classes
 	Description string        // session description of the caller
-	NumberKey   uint64        // called number as the decision module takes it
+	NumberKey   uint64        // called number as the decision module gets it
 	Width       float64       // circuits that the call takes on each group
 	TimeLeft    time.Duration // until the caller's deadline, at the time of the offer
 	Dest, Via   int           // as in tinbeam.Offer
 	Flags       uint8         // tinbeam.FlagRedial and the flags that follow it
 	Caller      Caller
-	Leg         any // state that belongs to the front end of the caller
+	Leg         any // state kept by the front end that offered the call
 
 	ref           uint32
 	offeredAt     time.Duration
@@ -94,7 +94,7 @@
 	Call    *Call
 	Switch  uint32        // ID of the far end
 	Timeout time.Duration // how long to wait for the answer
-	Leg     any           // state that belongs to the front end of the far end
+	Leg     any           // state kept by the front end that carries out the attempt
 
 	SentAt time.Duration
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// Prevents a second attempt before the release delay has passed since the first was reset.
+// After an attempt was reset, the next one must wait for the release delay.
 func TestReleaseDelay(t *testing.T) {
 	b := newFixture(nil)
 	b.offer("a", 5*time.Second)
@@ -90,8 +90,8 @@
 	b.expect(t, "set up a", "set up a")
 }
 
-// A far end does not answer, and the decision module waits until its time is nearly over: the caller still gets one final
-// answer, before its deadline.
+// A far end does not answer, and the decision module waits until the answer target is reached: the caller must still get
+// exactly one final answer, before its deadline.
 func TestOneFinalAnswerBeforeDeadline(t *testing.T) {
 	b := newFixture(nil)
 	b.offer("a", 500*time.Millisecond)
