--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics is the one set of counters of the agent. They are printed on request and at exit, and pushed
-// by remote write under the same names.
+// Package metrics holds the counters and gauges of the agent. They are printed on request and at exit, and pushed by
+// Prometheus remote write under the same names.
 package metrics
 
 import (
@@ -11,26 +11,26 @@
 	"sync/atomic"
 )
 
-// Counter is a figure that only grows, or with Set a gauge.
+// Counter is a metric. Its value only grows, unless Gauge is true: then Set may give it any value.
 type Counter struct {
 	Name, Help string
 	Gauge      bool
-	v          atomic.Int64
+	value      atomic.Int64
 }
 
-// Inc adds one.
-func (c *Counter) Inc() { c.v.Add(1) }
+// Inc adds one to the value.
+func (c *Counter) Inc() { c.value.Add(1) }
 
-// Add adds n.
-func (c *Counter) Add(n int64) { c.v.Add(n) }
+// Add adds n to the value.
+func (c *Counter) Add(n int64) { c.value.Add(n) }
 
-// Set gives a gauge its value.
-func (c *Counter) Set(n int64) { c.v.Store(n) }
+// Set sets the value of a gauge.
+func (c *Counter) Set(n int64) { c.value.Store(n) }
 
-// Value is the present value.
-func (c *Counter) Value() int64 { return c.v.Load() }
+// Value returns the current value.
+func (c *Counter) Value() int64 { return c.value.Load() }
 
-// Set is the counters of one agent.
+// Set holds all metrics of one agent. New gives each its name and help text.
 type Set struct {
 	Offered, Answered, Refused, Failed, Abandoned, Released         *Counter
 	Established, Pending, QueueLength                               *Counter
@@ -54,10 +54,10 @@
 	classes map[string]*Class
 }
 
-// Class is the counters of one class of call. There are as many as the settings have named.
+// Class holds the counters of one call class. A set has one for each class that the settings have named.
 type Class struct{ Answered, Refused, Failed Counter }
 
-// Class is the counters of a class.
+// Class returns the counters of the named call class, and creates them on first use.
 func (s *Set) Class(name string) *Class {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,14 +69,14 @@
 	return c
 }
 
-// Classes is the names of the classes, sorted.
+// Classes returns the names of the call classes in sorted order.
 func (s *Set) Classes() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.classes))
 }
 
-// New makes a set with every counter at zero.
+// New returns a set with all metrics at zero.
 func New() *Set {
 	s := &Set{classes: map[string]*Class{}}
 	add := func(p **Counter, name, help string) {
@@ -128,7 +128,8 @@
 	add(&s.RateLimited, "flooded_total", "set-ups refused at the door since a connection, or all together, sent too many")
 	add(&s.Violations, "violations_total", "conditions that must hold and did not")
 	add(&s.Panics, "panics_total", "decisions that failed")
-	add(&s.LateAnswers, "late_answers_total", "final answers that the core gave itself, at the deadline, at the end, or to callers sent away")
+	add(&s.LateAnswers, "late_answers_total",
+		"final answers that the core gave itself, at the deadline, at the end, or to callers sent away")
 	add(&s.PluginCalls, "plugin_calls_total", "events shown to the plug-in")
 	add(&s.PluginRefusals, "plugin_refusals_total", "calls that the plug-in refused")
 	add(&s.PluginFailures, "plugin_failures_total", "plug-in calls that failed or ran too long")
@@ -142,10 +143,10 @@
 	return s
 }
 
-// All is every counter, in a fixed order.
+// All returns all metrics except those per call class, in a fixed order.
 func (s *Set) All() []*Counter { return s.all }
 
-// Print writes the set in the text form that Prometheus reads.
+// Print writes all metrics in the Prometheus text format.
 func (s *Set) Print(w io.Writer) {
 	for _, c := range s.all {
 		kind := "counter"
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -28,35 +28,35 @@
 	}
 }
 
-// fields splits a protobuf message into its fields.
+// fields calls each for every field of a protobuf message.
 func fields(t *testing.T, b []byte, each func(protowire.Number, protowire.Type, []byte)) {
 	t.Helper()
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
-			t.Fatal("no tag")
+			t.Fatal("invalid protobuf tag")
 		}
 		b = b[n:]
 		n = protowire.ConsumeFieldValue(num, typ, b)
 		if n < 0 {
-			t.Fatal("no value")
+			t.Fatal("invalid protobuf field value")
 		}
 		each(num, typ, b[:n])
 		b = b[n:]
 	}
 }
 
-// text reads a length-delimited field.
+// text returns the content of a length-delimited field.
 func text(t *testing.T, b []byte) []byte {
 	t.Helper()
 	v, n := protowire.ConsumeBytes(b)
 	if n < 0 {
-		t.Fatal("no bytes")
+		t.Fatal("invalid length-delimited field")
 	}
 	return v
 }
 
-// TestRemoteWrite reads a push as a receiver of the public specification does.
+// TestRemoteWrite decodes a push as a receiver does that follows the public specification.
 func TestRemoteWrite(t *testing.T) {
 	var got http.Header
 	var body []byte
@@ -95,7 +95,7 @@
 					value = math.Float64frombits(v)
 				default:
 					if ms, _ := protowire.ConsumeVarint(b); ms != uint64(now.UnixMilli()) {
-						t.Errorf("at %d", ms)
+						t.Errorf("sample timestamp %d", ms)
 					}
 				}
 			})
@@ -107,19 +107,19 @@
 	}
 	status = http.StatusBadRequest
 	if err := r.Push(context.Background(), srv.Client(), s, now); err == nil {
-		t.Error("a refused push was taken for a good one")
+		t.Error("Push returned no error for a refused push")
 	}
-	// Ended at once, Run pushes once more and counts what became of it.
+	// When its context has already ended, Run still makes a last push and counts its result.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	failed := 0
-	r.Run(ctx, s, func(error) { failed++ })
-	if failed != 1 || s.PushesFailed.Value() != 1 || s.PushesOK.Value() != 0 {
-		t.Errorf("failed %d, counted %d", failed, s.PushesFailed.Value())
+	errorCount := 0
+	r.Run(ctx, s, func(error) { errorCount++ })
+	if errorCount != 1 || s.PushesFailed.Value() != 1 || s.PushesOK.Value() != 0 {
+		t.Errorf("%d errors reported, %d failures counted", errorCount, s.PushesFailed.Value())
 	}
 }
 
-// TestAlertRules checks the rules of deploy against the names that are emitted.
+// TestAlertRules checks that the alert rules in deploy use only metrics that the agent emits, and use them correctly.
 func TestAlertRules(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/alerts.yml")
 	if err != nil {
@@ -141,7 +141,7 @@
 	known := map[string]*Counter{}
 	for _, c := range New().All() {
 		if known[c.Name] != nil || strings.HasSuffix(c.Name, "_total") == c.Gauge || c.Help == "" {
-			t.Errorf("%s: taken, misnamed or without help", c.Name)
+			t.Errorf("%s: name is a duplicate or has the wrong suffix, or the help text is missing", c.Name)
 		}
 		known[c.Name] = c
 	}
@@ -152,19 +152,19 @@
 			rules++
 			uses := name.FindAllStringSubmatch(r.Expr, -1)
 			if r.Alert == "" || len(uses) == 0 || r.Annotations["summary"] == "" || r.Labels["severity"] == "" {
-				t.Errorf("%s: an alert needs a name, an expression on our series, a severity and a summary", r.Alert)
+				t.Errorf("%s: an alert needs a name, an expression on tinbeam series, a severity and a summary", r.Alert)
 			}
 			for _, u := range uses {
 				if c := known[u[2]]; c == nil || c.Gauge == (u[1] != "") {
-					t.Errorf("%s: %s is not emitted, or is a gauge under a rate, or a counter without one", r.Alert, u[2])
+					t.Errorf("%s: %s is not emitted, or is a gauge in a rate or a counter outside a rate", r.Alert, u[2])
 				}
 			}
 			if _, err := time.ParseDuration(r.For); r.For != "" && err != nil {
-				t.Errorf("%s: for: %v", r.Alert, err)
+				t.Errorf("%s: invalid duration in for: %v", r.Alert, err)
 			}
 		}
 	}
 	if rules == 0 {
-		t.Error("no rules")
+		t.Error("the file has no alert rules")
 	}
 }
--- a/internal/metrics/remote.go
+++ b/internal/metrics/remote.go
@@ -15,14 +15,14 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// RemoteWriter pushes the counters by Prometheus remote write, version 1.
+// RemoteWriter pushes the metrics of a set to a receiver by Prometheus remote write, version 1.
 type RemoteWriter struct {
 	URL      string
 	Interval time.Duration
-	Labels   map[string]string // put on every series, beside __name__
+	Labels   map[string]string // added to every series, besides __name__
 }
 
-// Encode writes a WriteRequest with the present values, uncompressed.
+// Encode returns an uncompressed WriteRequest with the current values, stamped with the time now.
 func (r *RemoteWriter) Encode(s *Set, now time.Time) []byte {
 	var out []byte
 	for _, c := range s.All() {
@@ -34,7 +34,7 @@
 		for n := range labels {
 			names = append(names, n)
 		}
-		slices.Sort(names) // receivers want labels in order
+		slices.Sort(names) // receivers require sorted labels
 		var series []byte
 		for _, n := range names {
 			var l []byte
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Push sends the present values once.
+// Push sends the current values once.
 func (r *RemoteWriter) Push(ctx context.Context, client *http.Client, s *Set, now time.Time) error {
 	body := snappy.Encode(nil, r.Encode(s, now))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, r.URL, bytes.NewReader(body))
@@ -76,23 +76,23 @@
 	return nil
 }
 
-// Run pushes until the context ends, and once more then. A push that fails is counted and not repeated: counters only
-// grow, so the next one carries all that it had.
-func (r *RemoteWriter) Run(ctx context.Context, s *Set, failed func(error)) {
-	every := r.Interval
-	if every <= 0 {
-		every = 15 * time.Second
+// Run pushes at each interval until the context ends, and then a last time. A failed push is counted, reported to
+// onError, and not retried: counters only grow, so the next push includes what the failed one would have sent.
+func (r *RemoteWriter) Run(ctx context.Context, s *Set, onError func(error)) {
+	interval := r.Interval
+	if interval <= 0 {
+		interval = 15 * time.Second
 	}
-	client := &http.Client{Timeout: min(every, 5*time.Second)}
+	client := &http.Client{Timeout: min(interval, 5*time.Second)}
 	push := func(ctx context.Context) {
 		if err := r.Push(ctx, client, s, time.Now()); err != nil {
 			s.PushesFailed.Inc()
-			failed(err)
+			onError(err)
 		} else {
 			s.PushesOK.Inc()
 		}
 	}
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
