--- a/internal/manage/manage.go
+++ b/internal/manage/manage.go
@@ -1,5 +1,5 @@
-// Package manage is the operators' door: HTTP/1.1 on an address of its own, one call to a connection. It answers from what
-// other goroutines may read at any time, so that it answers under any load.
+// Package manage is the operators' HTTP/1.1 server. It listens on its own address and serves one request per connection.
+// Its answers come only from data that any goroutine may read at any time, so it answers under any load.
 package manage
 
 import (
@@ -14,47 +14,48 @@
 )
 
 const (
-	wholeMost = 2 * time.Second // until a call has come whole
-	writeMost = 2 * time.Second // until its answer is read
-	headMost  = 8 << 10
-	drainMost = 64 << 10 // of a body, which means nothing
+	readTimeout    = 2 * time.Second // for reading a whole request
+	writeTimeout   = 2 * time.Second // for writing the response
+	maxHeaderBytes = 8 << 10
+	maxBodyBytes   = 64 << 10 // request bodies have no meaning here
 )
 
-// Agent is what operators call.
+// Agent is the call agent as the server needs it.
 type Agent interface {
-	AcceptsCallers() bool // whether it takes callers
-	Stats() any           // to be written as JSON
-	Drain(bool)           // send callers away, or take them again
+	AcceptsCallers() bool // whether it accepts callers
+	Stats() any           // statistics, to be encoded as JSON
+	Drain(bool)           // true drains callers, false accepts them again
 }
 
-// Server serves operators.
+// Server is the operators' HTTP server.
 type Server struct {
-	http *http.Server
-	ln   *gate
-	done chan struct{}
+	http     *http.Server
+	listener *connLimiter
+	done     chan struct{}
 }
 
-// Listen opens an address for operators, for so many connections at once.
-func Listen(addr string, most int, agent Agent, log *zap.Logger) (*Server, error) {
+// Listen starts a server on addr that keeps at most maxConns connections open.
+func Listen(addr string, maxConns int, agent Agent, log *zap.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: &gate{Listener: ln, most: max(most, 1)}, done: make(chan struct{})}
-	s.http = &http.Server{Handler: handler(agent), ReadTimeout: wholeMost, WriteTimeout: writeMost, MaxHeaderBytes: headMost,
-		ErrorLog: zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))}
+	s := &Server{listener: &connLimiter{Listener: ln, maxConns: max(maxConns, 1)}, done: make(chan struct{})}
+	s.http = &http.Server{Handler: handler(agent), ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       zap.NewStdLog(log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel)))}
 	s.http.SetKeepAlivesEnabled(false)
 	go func() {
 		defer close(s.done)
-		_ = s.http.Serve(s.ln)
+		_ = s.http.Serve(s.listener)
 	}()
 	return s, nil
 }
 
-// Addr is where it listens.
-func (s *Server) Addr() string { return s.ln.Addr().String() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends it.
+// Close stops the server and waits until it no longer accepts connections.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
@@ -81,51 +82,52 @@
 		agent.Drain(false)
 		fmt.Fprintln(w, "callers are taken again")
 	})
-	return http.MaxBytesHandler(mux, drainMost)
+	return http.MaxBytesHandler(mux, maxBodyBytes)
 }
 
-// gate bounds the connections. Guards the descriptors and the operators' place against connections that say nothing: where
-// there are too many, the one that has been open longest makes room.
-type gate struct {
+// connLimiter is a listener that limits the number of open connections: when there are too many, it closes the one that
+// has been open longest. Without this, idle connections could use up the file descriptors and lock operators out.
+type connLimiter struct {
 	net.Listener
-	most int
-	mu   sync.Mutex
-	open []*held // the oldest first
+	maxConns int
+	mu       sync.Mutex
+	open     []*limitedConn // oldest first
 }
 
-type held struct {
+// limitedConn is a connection that leaves the list of its limiter when it is closed.
+type limitedConn struct {
 	net.Conn
-	gate *gate
+	limiter *connLimiter
 }
 
-func (g *gate) Accept() (net.Conn, error) {
-	c, err := g.Listener.Accept()
+func (l *connLimiter) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	h := &held{c, g}
-	g.mu.Lock()
-	g.open = append(g.open, h)
-	var oldest *held
-	if len(g.open) > g.most {
-		oldest = g.open[0]
+	conn := &limitedConn{c, l}
+	l.mu.Lock()
+	l.open = append(l.open, conn)
+	var oldest *limitedConn
+	if len(l.open) > l.maxConns {
+		oldest = l.open[0]
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
-	return h, nil
+	return conn, nil
 }
 
-func (h *held) Close() error {
-	g := h.gate
-	g.mu.Lock()
-	for i, o := range g.open {
-		if o == h {
-			g.open = append(g.open[:i], g.open[i+1:]...)
+func (conn *limitedConn) Close() error {
+	l := conn.limiter
+	l.mu.Lock()
+	for i, open := range l.open {
+		if open == conn {
+			l.open = append(l.open[:i], l.open[i+1:]...)
 			break
 		}
 	}
-	g.mu.Unlock()
-	return h.Conn.Close()
+	l.mu.Unlock()
+	return conn.Conn.Close()
 }
--- a/internal/manage/manage_test.go
+++ b/internal/manage/manage_test.go
@@ -12,19 +12,19 @@
 	"go.uber.org/zap"
 )
 
-type agent struct{ away bool }
+type agent struct{ draining bool }
 
-func (a *agent) AcceptsCallers() bool { return !a.away }
+func (a *agent) AcceptsCallers() bool { return !a.draining }
 func (a *agent) Stats() any           { return map[string]int{"outstanding": 3} }
-func (a *agent) Drain(on bool)        { a.away = on }
+func (a *agent) Drain(on bool)        { a.draining = on }
 
-func TestCalls(t *testing.T) {
+func TestRequests(t *testing.T) {
 	s, err := Listen("127.0.0.1:0", 4, &agent{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	// Guards the operators' place: connections that say nothing, or half a call, are more than there may be.
+	// More connections than the limit, all sending nothing or part of a request, must not lock operators out.
 	for i := 0; i < 8; i++ {
 		c, err := net.Dial("tcp", s.Addr())
 		if err != nil {
@@ -36,9 +36,9 @@
 		}
 	}
 	for _, c := range []struct {
-		call string
-		code int
-		says string
+		request string
+		code    int
+		body    string
 	}{
 		{"GET /ready", 200, "ready"},
 		{"POST /ready", 405, ""},
@@ -50,7 +50,7 @@
 		{"GET /ready", 200, "ready"},
 		{"GET /elsewhere", 404, ""},
 	} {
-		method, path, _ := strings.Cut(c.call, " ")
+		method, path, _ := strings.Cut(c.request, " ")
 		r, err := http.NewRequest(method, "http://"+s.Addr()+path, strings.NewReader(""))
 		if err != nil {
 			t.Fatal(err)
@@ -58,12 +58,12 @@
 		client := http.Client{Timeout: 20 * time.Second}
 		got, err := client.Do(r)
 		if err != nil {
-			t.Fatal(c.call, err)
+			t.Fatal(c.request, err)
 		}
 		body, err := io.ReadAll(got.Body)
 		got.Body.Close()
-		if got.StatusCode != c.code || !strings.Contains(string(body), c.says) || err != nil || !got.Close {
-			t.Errorf("%s: %s %q %v, closed after it: %t", c.call, got.Status, body, err, got.Close)
+		if got.StatusCode != c.code || !strings.Contains(string(body), c.body) || err != nil || !got.Close {
+			t.Errorf("%s: %s %q %v, connection closed after the response: %t", c.request, got.Status, body, err, got.Close)
 		}
 	}
 }
