--- a/internal/plugin/plugin_test.go
+++ b/internal/plugin/plugin_test.go
@@ -11,11 +11,11 @@
 	"tinbeam/internal/metrics"
 )
 
-// module is a plug-in in WebAssembly's binary form with this body of refuse, and an event that does nothing.
+// module returns a WebAssembly binary whose export refuse has the given body and whose export event does nothing.
 func module(memoryPages byte, refuse ...byte) []byte {
 	b := []byte{0, 'a', 's', 'm', 1, 0, 0, 0,
-		1, 17, 2, 0x60, 5, 0x7f, 0x7e, 0x7f, 0x7f, 0x7f, 1, 0x7f, 0x60, 4, 0x7f, 0x7e, 0x7f, 0x7f, 0, // the two types
-		3, 3, 2, 0, 1} // the two functions
+		1, 17, 2, 0x60, 5, 0x7f, 0x7e, 0x7f, 0x7f, 0x7f, 1, 0x7f, 0x60, 4, 0x7f, 0x7e, 0x7f, 0x7f, 0, // two types
+		3, 3, 2, 0, 1} // two functions
 	if memoryPages > 0 {
 		b = append(b, 5, 3, 1, 0, memoryPages)
 	}
@@ -27,14 +27,14 @@
 
 var (
 	refuses71   = []byte{0x20, 1, 0x42, 0xf1, 0, 0x51, 0x0b}                     // number == 0x71
-	neverEnds   = []byte{0x03, 0x40, 0x0c, 0, 0x0b, 0x41, 0, 0x0b}               // a loop
+	neverEnds   = []byte{0x03, 0x40, 0x0c, 0, 0x0b, 0x41, 0, 0x0b}               // an endless loop
 	traps       = []byte{0x00, 0x0b}                                             // unreachable
-	lateClockOK = 10 * time.Second                                               // a budget that no test machine exceeds
+	ampleBudget = 10 * time.Second                                               // not exceeded even on a slow test machine
 	call71      = &agent.Call{ID: "a", NumberKey: 0x71, TimeLeft: time.Second}   // refused
 	call72      = &agent.Call{ID: "b", NumberKey: 0x72, TimeLeft: 2 * time.Hour} // not refused
 )
 
-func start(t *testing.T, budget time.Duration, clock *time.Duration, raw []byte) (*Plugin, *metrics.Set) {
+func startPlugin(t *testing.T, budget time.Duration, clock *time.Duration, raw []byte) (*Plugin, *metrics.Set) {
 	t.Helper()
 	m := metrics.New()
 	p, err := New(raw, Options{Budget: budget}, func() time.Duration { return *clock }, m, zap.NewNop())
@@ -46,9 +46,9 @@
 
 func TestRefuses(t *testing.T) {
 	var clock time.Duration
-	p, m := start(t, lateClockOK, &clock, module(1, refuses71...))
+	p, m := startPlugin(t, ampleBudget, &clock, module(1, refuses71...))
 	if !p.Refuse(call71) || p.Refuse(call72) {
-		t.Error("it refuses 71 and nothing else")
+		t.Error("it must refuse number 0x71 and no other")
 	}
 	p.Event("answered", call72)
 	if m.PluginCalls.Value() != 3 || m.PluginFailures.Value() != 0 {
@@ -56,53 +56,53 @@
 	}
 }
 
-// Guards the calls: a plug-in that traps or never ends is stopped and counted, the call goes on, and after some
-// failures it is left alone for a while.
+// A plug-in that traps or never ends must not hold up calls: it is stopped, the failure is counted, the call proceeds,
+// and after maxFailures failures in a row the plug-in is disabled for a while.
 func TestFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		budget time.Duration
 		body   []byte
-	}{"never ends": {time.Millisecond, neverEnds}, "traps": {lateClockOK, traps}} {
+	}{"never ends": {time.Millisecond, neverEnds}, "traps": {ampleBudget, traps}} {
 		var clock time.Duration
-		p, m := start(t, c.budget, &clock, module(0, c.body...))
-		for range failsMost + 3 {
+		p, m := startPlugin(t, c.budget, &clock, module(0, c.body...))
+		for range maxFailures + 3 {
 			if p.Refuse(call71) {
-				t.Errorf("%s: refused", name)
+				t.Errorf("%s: the call was refused", name)
 			}
 		}
-		if n := m.PluginFailures.Value(); n != failsMost {
+		if n := m.PluginFailures.Value(); n != maxFailures {
 			t.Errorf("%s: %d failures counted", name, n)
 		}
-		clock += rest
+		clock += disabledTime
 		p.Refuse(call71)
-		if n := m.PluginFailures.Value(); n != failsMost+1 {
-			t.Errorf("%s: %d failures counted after its rest", name, n)
+		if n := m.PluginFailures.Value(); n != maxFailures+1 {
+			t.Errorf("%s: %d failures counted after the disabled time", name, n)
 		}
 	}
 }
 
 func TestBadPlugins(t *testing.T) {
-	other := bytes.Replace(module(0, refuses71...), []byte("refuse\x00\x00"), []byte("refuse\x00\x01"), 1)
+	wrongSignature := bytes.Replace(module(0, refuses71...), []byte("refuse\x00\x00"), []byte("refuse\x00\x01"), 1)
 	for name, raw := range map[string][]byte{"not wasm": []byte("hello"), "too much memory": module(100, refuses71...),
-		"refuse of another form": other} {
+		"refuse with a wrong signature": wrongSignature} {
 		if _, err := New(raw, Options{}, func() time.Duration { return 0 }, metrics.New(), zap.NewNop()); err == nil {
-			t.Errorf("%s: it started", name)
+			t.Errorf("%s: the plug-in started", name)
 		}
 	}
 }
 
-// The example in deploy does what its text says.
+// The example plug-in in deploy refuses redials, as its name says.
 func TestExample(t *testing.T) {
 	m := metrics.New()
-	p, err := Load(Options{Path: "../../deploy/plugin/refuse-redials.wasm", Budget: lateClockOK},
+	p, err := Load(Options{Path: "../../deploy/plugin/refuse-redials.wasm", Budget: ampleBudget},
 		func() time.Duration { return 0 }, m, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if p.Refuse(&agent.Call{Flags: 8}) || !p.Refuse(&agent.Call{Flags: 2 | 16}) || m.PluginFailures.Value() != 0 {
-		t.Error("it refuses redials and nothing else")
+		t.Error("it must refuse redials and nothing else")
 	}
-	p.Event("answered", call72) // which it does not export
+	p.Event("answered", call72) // the example does not export event
 	if n := m.PluginCalls.Value(); n != 2 {
 		t.Errorf("%d calls", n)
 	}
