--- a/internal/mgcp/front.go
+++ b/internal/mgcp/front.go
@@ -16,129 +16,133 @@
 	invariant "tinbeam/internal/debug"
 )
 
-// Gateway is one gateway in the operator's file.
+// Gateway is the configuration of one gateway in the operator's file.
 type Gateway struct {
-	Name         string   // the domain of its endpoints, as in aaln/1@NAME
-	Address      string   // where it takes commands
-	ID           uint32   // as a far end
-	Exchange     int      // its number in the network; calls with this destination go to it
-	Zone         int      // its district
+	Name         string   // domain of its endpoints, as in aaln/1@NAME
+	Address      string   // IP address and port for commands to the gateway
+	ID           uint32   // far-end ID
+	Exchange     int      // exchange number; calls with this destination go to the gateway
+	Zone         int      // zone number
 	Lines        []string // local names of its endpoints
-	ManualAnswer bool     // its lines ring and are answered by hand; else a connection stands at once
-	Class        string   // the class of the calls that it brings in
+	ManualAnswer bool     // lines ring until somebody answers; otherwise calls are answered at once
+	Class        string   // class of the calls that come from the gateway
 }
 
-// Route sends the numbers that begin with Prefix to a place.
+// Route routes the numbers that begin with Prefix to an exchange. The longest matching prefix applies.
 type Route struct {
 	Prefix   string
 	Exchange int
 }
 
-// Config is what the operator's file says of this front.
+// Config is the part of the operator's file that concerns the MGCP front end.
 type Config struct {
 	Gateways []Gateway
 	Routes   []Route
-	DigitMap string // the digit map handed to gateways
+	DigitMap string // digit map sent to gateways
 }
 
-// FrontEnd is the MGCP front: caller side and far side of the core at once. It lives on the core's loop.
+// FrontEnd is the MGCP front end. It is both a caller side and a far-end side of the core, and runs on the core's loop.
 type FrontEnd struct {
-	core    *agent.Core
-	log     *zap.Logger
-	plan    Config
-	tx      *transactions
-	byName  map[string]*gateway
-	byID    map[uint32]*gateway
-	order   []*gateway
-	version uint64
-	rng     *rand.Rand
-}
-
+	core          *agent.Core
+	log           *zap.Logger
+	config        Config
+	tx            *transactions
+	gatewayByName map[string]*gateway
+	gatewayByID   map[uint32]*gateway
+	gateways      []*gateway
+	listVersion   uint64
+	rng           *rand.Rand
+}
+
+// gateway is the state of a gateway.
 type gateway struct {
 	Gateway
-	addr  netip.AddrPort
-	mode  tinbeam.Mode
-	since time.Duration
-	back  *agent.Timer // when it is in service again, as it said
-	lines []*line
+	addr        netip.AddrPort
+	mode        tinbeam.Mode
+	onlineSince time.Duration
+	delayTimer  *agent.Timer // runs until the end of the restart delay that the gateway announced
+	lines       []*line
 }
 
-// line is one endpoint. It serves one call at a time, in one of two parts: the caller's or the called one's.
+// line is the state of one endpoint. It has at most one call at a time, either as the caller or as the called side.
 type line struct {
-	gw      *gateway
-	name    string // with the gateway's domain
-	caller  *callerLeg
-	called  *calledLeg
-	closing bool // a DLCX is under way; the line is not free until it has been answered
-	lastReq uint32
+	gw        *gateway
+	name      string // full endpoint name, including the gateway's domain
+	caller    *callerLeg
+	called    *calledLeg
+	closing   bool   // a DLCX is pending; the line is not free until the response arrives
+	requestID uint32 // RequestIdentifier of the last notification request
 }
 
-// callerLeg is a call that a gateway brings in.
+// callerLeg is the gateway's side of a call that comes from the gateway.
 type callerLeg struct {
 	line   *line
 	digits string
-	id     string      // of the call, as long as the gateway holds or may hold a connection for it
-	call   *agent.Call // nil: nothing has been offered to the core yet
-	conn   string      // connection id at the gateway
-	create *transaction
+	callID string       // set as long as the gateway has, or may have, a connection for the call
+	call   *agent.Call  // nil: not offered to the core yet
+	connID string       // ConnectionId at the gateway
+	create *transaction // pending CRCX, or nil
 	ended  bool
 }
 
-// calledLeg is an attempt towards a gateway.
+// calledLeg is the gateway's side of an attempt towards the gateway.
 type calledLeg struct {
-	line   *line
-	at     *agent.Attempt
-	conn   string
-	sdp    string
-	create *transaction
-	ended  bool
-}
-
-// New makes the front and takes its gateways into the list.
-func New(core *agent.Core, log *zap.Logger, plan Config, seed uint64, send Send) *FrontEnd {
-	f := &FrontEnd{core: core, log: log, plan: plan, byName: map[string]*gateway{}, byID: map[uint32]*gateway{},
+	line    *line
+	attempt *agent.Attempt
+	connID  string // ConnectionId at the gateway
+	sdp     string
+	create  *transaction // pending CRCX, or nil
+	ended   bool
+}
+
+// New returns a front end and adds its gateways to the far-end list of the core.
+func New(core *agent.Core, log *zap.Logger, config Config, seed uint64, send Send) *FrontEnd {
+	f := &FrontEnd{core: core, log: log, config: config,
+		gatewayByName: map[string]*gateway{}, gatewayByID: map[uint32]*gateway{},
 		rng: rand.New(rand.NewPCG(seed, 0x36c9))}
-	f.tx = newTransactions(core.Loop, core.Metrics, f.rng.Uint32(), send, f.command)
-	for _, g := range plan.Gateways {
+	f.tx = newTransactions(core.Loop, core.Metrics, f.rng.Uint32(), send, f.handleCommand)
+	for _, g := range config.Gateways {
 		gw := &gateway{Gateway: g, mode: tinbeam.Ready}
-		gw.addr, _ = netip.ParseAddrPort(g.Address) // checked when the operator's file was read
+		gw.addr, _ = netip.ParseAddrPort(g.Address) // validated when the operator's file was read
 		for _, n := range g.Lines {
 			gw.lines = append(gw.lines, &line{gw: gw, name: n + "@" + g.Name})
 		}
-		f.byName[strings.ToLower(g.Name)], f.byID[g.ID] = gw, gw
-		f.order = append(f.order, gw)
+		f.gatewayByName[strings.ToLower(g.Name)], f.gatewayByID[g.ID] = gw, gw
+		f.gateways = append(f.gateways, gw)
 	}
-	f.list(f.order...)
-	for _, gw := range f.order {
-		// The agent starts from nothing: what a gateway still holds of an earlier start belongs to no call any more.
+	f.updateFarEnds(f.gateways...)
+	for _, gw := range f.gateways {
+		// The agent starts without calls, so connections that a gateway still has from an earlier run of the agent are
+		// deleted.
 		f.tx.request(gw.addr, &Message{Verb: "DLCX", Endpoint: "*@" + gw.Name}, func(*Message) {
 			for _, l := range gw.lines {
-				f.arm(l)
+				f.requestOffHook(l)
 			}
 		})
 	}
 	return f
 }
 
-// HandleDatagram takes what came in from an address.
-func (f *FrontEnd) HandleDatagram(from netip.AddrPort, b []byte) { f.tx.datagram(from, b) }
+// HandleDatagram handles a datagram that was received from an address.
+func (f *FrontEnd) HandleDatagram(from netip.AddrPort, b []byte) { f.tx.handleDatagram(from, b) }
 
-// list tells the core of changed gateways, and of their free lines.
-func (f *FrontEnd) list(changed ...*gateway) {
+// updateFarEnds reports changed gateways and their free lines to the core.
+func (f *FrontEnd) updateFarEnds(changed ...*gateway) {
 	entries := make([]tinbeam.Entry, len(changed))
 	for i, gw := range changed {
 		entries[i] = tinbeam.Entry{Switch: gw.ID, Zone: gw.Zone, ExchangeNumber: gw.Exchange, Mode: gw.mode, Weight: 1,
-			OnlineSince: gw.since, NoTransit: true}
+			OnlineSince: gw.onlineSince, NoTransit: true}
 	}
-	f.version++
-	f.core.UpdateFarEnds(f.version, tinbeam.ListDelta, entries, farSide{f})
+	f.listVersion++
+	f.core.UpdateFarEnds(f.listVersion, tinbeam.ListDelta, entries, farEndSide{f})
 	for _, gw := range changed {
-		f.report(gw)
+		f.reportFreeLines(gw)
 	}
 }
 
-// report tells the core of the free lines of a gateway: to the module they are a group of circuits.
-func (f *FrontEnd) report(gw *gateway) {
+// reportFreeLines reports the number of free lines of a gateway to the core. The decision module regards them as a group
+// of circuits.
+func (f *FrontEnd) reportFreeLines(gw *gateway) {
 	free := 0
 	for _, l := range gw.lines {
 		if l.idle() {
@@ -159,37 +163,40 @@
 	f.core.Report(gw.ID, r)
 }
 
+// idle reports whether the line is free for a call.
 func (l *line) idle() bool { return l.caller == nil && l.called == nil && !l.closing }
 
-// notify asks a line to tell of events, and gives it signals; an empty one stops what sounds.
-func (f *FrontEnd) notify(l *line, m *Message, events, signals string) *Message {
-	l.lastReq = f.rng.Uint32()
-	m.With("X", fmt.Sprintf("%X", l.lastReq)).With("R", events)
-	if strings.Contains(events, "D/") && f.plan.DigitMap != "" {
-		m.With("D", f.plan.DigitMap)
+// addNotificationRequest adds the parameters of a notification request to m: the events that the line is to report, and
+// the signals that it is to apply. Empty signals stop the current ones.
+func (f *FrontEnd) addNotificationRequest(l *line, m *Message, events, signals string) *Message {
+	l.requestID = f.rng.Uint32()
+	m.AddParam("X", fmt.Sprintf("%X", l.requestID)).AddParam("R", events)
+	if strings.Contains(events, "D/") && f.config.DigitMap != "" {
+		m.AddParam("D", f.config.DigitMap)
 	}
-	return m.With("S", signals)
+	return m.AddParam("S", signals)
 }
 
-// arm makes an idle line ready for a caller who lifts the receiver.
-func (f *FrontEnd) arm(l *line) {
-	f.tx.request(l.gw.addr, f.notify(l, &Message{Verb: "RQNT", Endpoint: l.name}, "L/hd(N)", ""), nil)
+// requestOffHook asks an idle line to report when a caller goes off hook.
+func (f *FrontEnd) requestOffHook(l *line) {
+	f.tx.request(l.gw.addr, f.addNotificationRequest(l, &Message{Verb: "RQNT", Endpoint: l.name}, "L/hd(N)", ""), nil)
 }
 
-// --- commands of gateways ---
+// --- commands from gateways ---
 
-func (f *FrontEnd) command(from netip.AddrPort, m *Message, reply func(*Message)) {
-	ok := func() { reply(&Message{Code: 200, Comment: "OK"}) }
-	local, domain, _ := strings.Cut(m.Endpoint, "@")
-	gw := f.byName[strings.ToLower(domain)]
+// handleCommand executes a command from a gateway and calls reply once.
+func (f *FrontEnd) handleCommand(from netip.AddrPort, m *Message, reply func(*Message)) {
+	respondOK := func() { reply(&Message{Code: 200, Comment: "OK"}) }
+	localName, domain, _ := strings.Cut(m.Endpoint, "@")
+	gw := f.gatewayByName[strings.ToLower(domain)]
 	if gw == nil || gw.addr.Addr() != from.Addr() {
 		reply(&Message{Code: 500, Comment: "Endpoint unknown"})
 		return
 	}
 	var lines []*line
-	whole := local == "*" || strings.HasSuffix(local, "/*")
+	allLines := localName == "*" || strings.HasSuffix(localName, "/*")
 	for _, l := range gw.lines {
-		if whole || strings.EqualFold(l.name, m.Endpoint) {
+		if allLines || strings.EqualFold(l.name, m.Endpoint) {
 			lines = append(lines, l)
 		}
 	}
@@ -200,41 +207,42 @@
 	switch m.Verb {
 	case "NTFY":
 		observed, _ := m.Get("O")
-		events := Events(observed)
-		if whole || len(events) == 0 {
+		events := ParseEvents(observed)
+		if allLines || len(events) == 0 {
 			reply(&Message{Code: 510, Comment: "Protocol error"})
 			return
 		}
-		ok()
-		f.observed(lines[0], events)
+		respondOK()
+		f.handleEvents(lines[0], events)
 	case "RSIP":
-		ok()
-		f.restart(gw, lines, whole, m)
+		respondOK()
+		f.handleRestart(gw, lines, allLines, m)
 	case "DLCX":
-		ok() // the gateway gives a connection up by itself
+		respondOK() // the gateway deletes the connection on its own
 		for _, l := range lines {
-			f.lost(l, tinbeam.Reset, 41)
-			f.arm(l)
+			f.endWithoutDelete(l, tinbeam.Reset, 41)
+			f.requestOffHook(l)
 		}
 	default:
 		reply(&Message{Code: 504, Comment: "Unknown or unsupported command"})
 	}
 }
 
-// restart takes an RSIP. What stood at a gateway that starts anew is over, and is ended once: its lines hold nothing
-// afterwards, so a second RSIP finds nothing to end.
-func (f *FrontEnd) restart(gw *gateway, lines []*line, whole bool, m *Message) {
+// handleRestart handles an RSIP. When a gateway restarts, its calls are over, and are ended once: afterwards its lines
+// have no calls, so a repeated RSIP ends nothing.
+func (f *FrontEnd) handleRestart(gw *gateway, lines []*line, allLines bool, m *Message) {
 	f.core.Metrics.MGCPRestarts.Inc()
 	method, _ := m.Get("RM")
-	f.log.Info("gateway restarts", zap.String("gateway", gw.Name), zap.String("method", method))
+	f.log.Info("gateway restart in progress", zap.String("gateway", gw.Name), zap.String("method", method))
 	mode := tinbeam.Ready
 	switch strings.ToLower(method) {
 	case "graceful":
 		mode = tinbeam.Draining
-		// Guards the rule on drains: a set-up whose first datagram was lost would arrive as a new one.
+		// A draining gateway must not get new set-ups. Without this, the retransmission of a CRCX whose first datagram was
+		// lost would reach it as a new set-up.
 		for _, l := range lines {
 			if l.called != nil {
-				f.tx.hush(l.called.create)
+				f.tx.stopRetransmitting(l.called.create)
 			}
 		}
 	case "forced", "restart", "":
@@ -242,63 +250,63 @@
 			mode = tinbeam.Gone
 		}
 		for _, l := range lines {
-			f.lost(l, tinbeam.Reset, 41)
+			f.endWithoutDelete(l, tinbeam.Reset, 41)
 		}
-		if whole {
-			gw.since = f.core.Now()
+		if allLines {
+			gw.onlineSince = f.core.Now()
 		}
 	}
-	// "disconnected" and "cancel-graceful": it is back with all it had.
-	f.core.Stop(gw.back)
-	if rd, _ := m.Get("RD"); whole && mode == tinbeam.Ready && rd != "" {
-		if s, err := strconv.Atoi(rd); err == nil && s > 0 { // it is in service only after this delay
+	// "disconnected" and "cancel-graceful": the gateway is in service again and still has all its connections.
+	f.core.Stop(gw.delayTimer)
+	if rd, _ := m.Get("RD"); allLines && mode == tinbeam.Ready && rd != "" {
+		if s, err := strconv.Atoi(rd); err == nil && s > 0 { // restart delay: the gateway is in service only after it
 			mode = tinbeam.Gone
-			gw.back = f.core.After(time.Duration(min(s, 3600))*time.Second, func() {
-				gw.mode, gw.since = tinbeam.Ready, f.core.Now()
-				f.list(gw)
+			gw.delayTimer = f.core.After(time.Duration(min(s, 3600))*time.Second, func() {
+				gw.mode, gw.onlineSince = tinbeam.Ready, f.core.Now()
+				f.updateFarEnds(gw)
 				for _, l := range gw.lines {
-					f.arm(l)
+					f.requestOffHook(l)
 				}
 			})
 		}
 	}
-	if whole {
+	if allLines {
 		gw.mode = mode
-		f.list(gw)
+		f.updateFarEnds(gw)
 	}
 	if mode == tinbeam.Ready {
 		for _, l := range lines {
 			if l.idle() {
-				f.arm(l)
+				f.requestOffHook(l)
 			}
 		}
 	}
 }
 
-// lost ends what a line serves without a word to the gateway, which does not hold it any more. Only a CRCX that is still
-// out may come to it after its restart, and what that makes has to be deleted.
-func (f *FrontEnd) lost(l *line, code tinbeam.Code, cause int) {
+// endWithoutDelete ends the call of a line without a DLCX, since the gateway no longer has its connection. Only if a CRCX
+// is pending is a DLCX sent: the CRCX may reach the gateway after its restart and create a connection.
+func (f *FrontEnd) endWithoutDelete(l *line, code tinbeam.Code, cause int) {
 	called, caller := l.called, l.caller
 	l.called, l.caller, l.closing = nil, nil, false
 	if called != nil && !called.ended {
 		called.ended = true
-		f.core.Ended(called.at, code, 0, nil, cause)
+		f.core.Ended(called.attempt, code, 0, nil, cause)
 		if called.create != nil {
-			f.clear(l, called.at.Call.ID, "", called.create)
+			f.clear(l, called.attempt.Call.ID, "", called.create)
 		}
 	}
 	if caller != nil && !caller.ended {
 		caller.ended = true
-		f.left(caller, cause)
+		f.reportCallerGone(caller, cause)
 		if caller.create != nil {
-			f.clear(l, caller.id, "", caller.create)
+			f.clear(l, caller.callID, "", caller.create)
 		}
 	}
-	f.report(l.gw)
+	f.reportFreeLines(l.gw)
 }
 
-// left tells the core that the caller of a leg is not there any more.
-func (f *FrontEnd) left(leg *callerLeg, cause int) {
+// reportCallerGone reports to the core that the caller has ended or abandoned the call.
+func (f *FrontEnd) reportCallerGone(leg *callerLeg, cause int) {
 	switch {
 	case leg.call == nil:
 	case leg.call.Established():
@@ -308,17 +316,17 @@
 	}
 }
 
-// observed takes what a line has seen, event by event.
-func (f *FrontEnd) observed(l *line, events []string) {
+// handleEvents handles the events that a line has observed, in order.
+func (f *FrontEnd) handleEvents(l *line, events []string) {
 	for _, e := range events {
 		switch {
 		case e == "l/hd":
-			f.offHook(l)
+			f.handleOffHook(l)
 		case e == "l/hu":
-			f.onHook(l)
+			f.handleOnHook(l)
 		case strings.HasPrefix(e, "d/") && len(e) == 3 && l.caller != nil && l.caller.call == nil &&
 			l.caller.create == nil && len(l.caller.digits) < 32:
-			if e[2] != 't' { // the digits' own timer
+			if e[2] != 't' { // not a digit: the gateway's digit timer has expired
 				l.caller.digits += e[2:]
 			}
 		}
@@ -328,10 +336,11 @@
 	}
 }
 
-func (f *FrontEnd) offHook(l *line) {
+// handleOffHook answers the call that rings on the line, or else starts a new call and collects its digits.
+func (f *FrontEnd) handleOffHook(l *line) {
 	if leg := l.called; leg != nil {
-		if !leg.ended && leg.conn != "" && !leg.at.Established() {
-			f.answered(leg)
+		if !leg.ended && leg.connID != "" && !leg.attempt.Established() {
+			f.reportAnswered(leg)
 		}
 		return
 	}
@@ -339,156 +348,157 @@
 		return
 	}
 	l.caller = &callerLeg{line: l}
-	f.report(l.gw)
-	f.tx.request(l.gw.addr, f.notify(l, &Message{Verb: "RQNT", Endpoint: l.name}, "D/[0-9*#T](D), L/hu(N)", "L/dl"), nil)
+	f.reportFreeLines(l.gw)
+	f.tx.request(l.gw.addr, f.addNotificationRequest(l, &Message{Verb: "RQNT", Endpoint: l.name},
+		"D/[0-9*#T](D), L/hu(N)", "L/dl"), nil)
 }
 
-func (f *FrontEnd) onHook(l *line) {
+// handleOnHook ends the call of the line. While a call rings on the line, it has no effect.
+func (f *FrontEnd) handleOnHook(l *line) {
 	if leg := l.caller; leg != nil {
-		was := leg.ended
+		wasEnded := leg.ended
 		leg.ended = true
 		l.caller = nil
-		if !was {
-			f.left(leg, 16)
+		if !wasEnded {
+			f.reportCallerGone(leg, 16)
 		}
-		f.clear(l, leg.id, leg.conn, leg.create)
+		f.clear(l, leg.callID, leg.connID, leg.create)
 		return
 	}
-	if leg := l.called; leg != nil && !leg.ended && leg.at.Established() {
+	if leg := l.called; leg != nil && !leg.ended && leg.attempt.Established() {
 		leg.ended, l.called = true, nil
-		f.core.Ended(leg.at, tinbeam.OK, 0, nil, 16)
-		f.clear(l, leg.at.Call.ID, leg.conn, leg.create)
+		f.core.Ended(leg.attempt, tinbeam.OK, 0, nil, 16)
+		f.clear(l, leg.attempt.Call.ID, leg.connID, leg.create)
 	}
 }
 
-// clear deletes the connection that a line has or may have, and makes the line free once that is done. A CRCX that is
-// still out is not sent again, and if it is answered after all, what it made is deleted too: a transaction that is
-// retried after its call is over must leave no connection behind. Without a call there is nothing to delete.
-func (f *FrontEnd) clear(l *line, callID, conn string, create *transaction) {
-	f.tx.hush(create)
-	free := func(*Message) {
+// clear deletes the connection that a line has or may have, and frees the line once that is done. A pending
+// CRCX is no longer retransmitted, and if it succeeds after all, the new connection is deleted too (deleteOrphan):
+// retransmission after the end of a call must leave no connection behind. Without a call ID there is nothing to delete.
+func (f *FrontEnd) clear(l *line, callID, connID string, create *transaction) {
+	f.tx.stopRetransmitting(create)
+	markFree := func(*Message) {
 		l.closing = false
-		f.report(l.gw)
+		f.reportFreeLines(l.gw)
 	}
 	if callID == "" {
-		free(nil)
-		f.arm(l)
+		markFree(nil)
+		f.requestOffHook(l)
 		return
 	}
 	l.closing = true
-	m := (&Message{Verb: "DLCX", Endpoint: l.name}).With("C", callID)
-	if conn != "" {
-		m.With("I", conn)
+	m := (&Message{Verb: "DLCX", Endpoint: l.name}).AddParam("C", callID)
+	if connID != "" {
+		m.AddParam("I", connID)
 	}
-	f.tx.request(l.gw.addr, f.notify(l, m, "L/hd(N)", ""), free)
-	f.report(l.gw)
+	f.tx.request(l.gw.addr, f.addNotificationRequest(l, m, "L/hd(N)", ""), markFree)
+	f.reportFreeLines(l.gw)
 }
 
-// orphan deletes a connection that a late response told of.
-func (f *FrontEnd) orphan(l *line, callID string, r *Message) {
+// deleteOrphan deletes a connection that a CRCX created after its call was over. r is the late response to the CRCX.
+func (f *FrontEnd) deleteOrphan(l *line, callID string, r *Message) {
 	if r == nil || r.Code >= 300 {
 		return
 	}
-	if conn, _ := r.Get("I"); conn != "" {
-		f.tx.request(l.gw.addr, (&Message{Verb: "DLCX", Endpoint: l.name}).With("C", callID).With("I", conn), nil)
+	if connID, _ := r.Get("I"); connID != "" {
+		f.tx.request(l.gw.addr,
+			(&Message{Verb: "DLCX", Endpoint: l.name}).AddParam("C", callID).AddParam("I", connID), nil)
 	}
 }
 
-// --- caller side: calls that gateways bring in ---
+// --- caller side: calls from gateways ---
 
-// originate opens the caller's own half, and offers the call once its description is known.
+// originate creates the caller's connection, and offers the call to the core once its session description is known.
 func (f *FrontEnd) originate(leg *callerLeg) {
 	l := leg.line
-	place := -1
-	best := -1
-	for _, r := range f.plan.Routes {
-		if strings.HasPrefix(leg.digits, r.Prefix) && len(r.Prefix) > best {
-			place, best = r.Exchange, len(r.Prefix)
+	exchange := -1
+	longest := -1
+	for _, r := range f.config.Routes {
+		if strings.HasPrefix(leg.digits, r.Prefix) && len(r.Prefix) > longest {
+			exchange, longest = r.Exchange, len(r.Prefix)
 		}
 	}
-	if place < 0 {
-		f.tone(leg, "L/ro")
+	if exchange < 0 {
+		f.endWithTone(leg, "L/ro")
 		return
 	}
-	of := f.core.ClassIndex(l.gw.Class)
-	if of < 0 { // the settings have dropped it
-		f.tone(leg, "L/ro")
+	classIndex := f.core.ClassIndex(l.gw.Class)
+	if classIndex < 0 { // the class was removed from the settings
+		f.endWithTone(leg, "L/ro")
 		return
 	}
-	class := f.core.Settings.Classes[of]
-	k := &agent.Call{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Number: leg.digits, NumberKey: agent.NumberKey(leg.digits),
-		Class: of,
-		Width: class.Width, TimeLeft: class.HardLimit, Dest: place, Via: -1, Caller: f, Leg: leg}
-	leg.id = k.ID
-	m := (&Message{Verb: "CRCX", Endpoint: l.name}).With("C", k.ID).With("M", "recvonly")
-	leg.create = f.tx.request(l.gw.addr, f.notify(l, m, "L/hu(N)", ""), func(r *Message) {
+	class := f.core.Settings.Classes[classIndex]
+	call := &agent.Call{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Number: leg.digits, NumberKey: agent.NumberKey(leg.digits),
+		Class: classIndex, Width: class.Width, TimeLeft: class.HardLimit, Dest: exchange, Via: -1, Caller: f, Leg: leg}
+	leg.callID = call.ID
+	m := (&Message{Verb: "CRCX", Endpoint: l.name}).AddParam("C", call.ID).AddParam("M", "recvonly")
+	leg.create = f.tx.request(l.gw.addr, f.addNotificationRequest(l, m, "L/hu(N)", ""), func(r *Message) {
 		leg.create = nil
 		if leg.ended {
-			f.orphan(l, k.ID, r)
+			f.deleteOrphan(l, call.ID, r)
 			return
 		}
 		if r == nil || r.Code >= 300 {
-			leg.id = ""
-			f.tone(leg, "L/ro")
+			leg.callID = ""
+			f.endWithTone(leg, "L/ro")
 			return
 		}
-		leg.conn, _ = r.Get("I")
-		k.Description, leg.call = r.SDP, k
-		f.core.Offer(k)
+		leg.connID, _ = r.Get("I")
+		call.Description, leg.call = r.SDP, call
+		f.core.Offer(call)
 	})
 }
 
-// tone tells the caller that there is no call; the line waits for the receiver to be put down.
-func (f *FrontEnd) tone(leg *callerLeg, signal string) {
+// endWithTone ends the caller's side of a call and plays a tone. The line stays in use until the caller goes on hook.
+func (f *FrontEnd) endWithTone(leg *callerLeg, signal string) {
 	leg.ended = true
 	l := leg.line
 	m := &Message{Verb: "RQNT", Endpoint: l.name}
-	if leg.conn != "" {
-		m = (&Message{Verb: "DLCX", Endpoint: l.name}).With("C", leg.id).With("I", leg.conn)
-		leg.id, leg.conn = "", ""
+	if leg.connID != "" {
+		m = (&Message{Verb: "DLCX", Endpoint: l.name}).AddParam("C", leg.callID).AddParam("I", leg.connID)
+		leg.callID, leg.connID = "", ""
 	}
-	f.tx.request(l.gw.addr, f.notify(l, m, "L/hu(N)", signal), nil)
+	f.tx.request(l.gw.addr, f.addNotificationRequest(l, m, "L/hu(N)", signal), nil)
 }
 
-// Answer connects the caller with the far end.
-func (f *FrontEnd) Answer(k *agent.Call, description string) {
-	leg := k.Leg.(*callerLeg)
+// Answer connects the caller to the far end.
+func (f *FrontEnd) Answer(call *agent.Call, description string) {
+	leg := call.Leg.(*callerLeg)
 	l := leg.line
-	m := (&Message{Verb: "MDCX", Endpoint: l.name, SDP: description}).With("C", k.ID).With("I", leg.conn).
-		With("M", "sendrecv")
+	m := (&Message{Verb: "MDCX", Endpoint: l.name, SDP: description}).AddParam("C", call.ID).AddParam("I", leg.connID).
+		AddParam("M", "sendrecv")
 	f.tx.request(l.gw.addr, m, func(r *Message) {
 		if !leg.ended && (r == nil || r.Code >= 300) {
-			f.tone(leg, "L/ro")
-			f.core.Hangup(k, 41) // it stands nowhere: the far end must not keep it
+			f.endWithTone(leg, "L/ro")
+			f.core.Hangup(call, 41) // the caller is not connected, so the far end must release the call
 		}
 	})
 }
 
-// Refuse gives the caller the tone for no way through.
-func (f *FrontEnd) Refuse(k *agent.Call, failed bool, _ time.Duration) {
-	if leg := k.Leg.(*callerLeg); !leg.ended {
-		f.tone(leg, "L/ro")
+// Refuse plays the reorder tone to the caller.
+func (f *FrontEnd) Refuse(call *agent.Call, failed bool, _ time.Duration) {
+	if leg := call.Leg.(*callerLeg); !leg.ended {
+		f.endWithTone(leg, "L/ro")
 	}
 }
 
-// Release tells the caller that the call is over.
-func (f *FrontEnd) Release(k *agent.Call, cause int) {
-	if leg := k.Leg.(*callerLeg); !leg.ended {
-		f.tone(leg, "L/bz")
+// Release plays the busy tone to the caller, since the call is over.
+func (f *FrontEnd) Release(call *agent.Call, cause int) {
+	if leg := call.Leg.(*callerLeg); !leg.ended {
+		f.endWithTone(leg, "L/bz")
 	}
 }
 
-// --- far side: attempts towards gateways ---
+// --- far-end side: attempts towards gateways ---
 
-// farSide is the front as the core's far side: both sides have a Release, so one type cannot be both.
-type farSide struct{ *FrontEnd }
+// farEndSide is the front end as a far-end side of the core. Both sides have a method Release, so they need two types.
+type farEndSide struct{ *FrontEnd }
 
-// SetUp makes a connection at a free line. A gateway is the end of a way: it takes calls for itself alone.
-func (f farSide) SetUp(a *agent.Attempt) {
-	gw := f.byID[a.Switch]
+// SetUp creates a connection at a free line. A gateway does not carry transit calls: it accepts only calls for itself.
+func (f farEndSide) SetUp(a *agent.Attempt) {
+	gw := f.gatewayByID[a.Switch]
 	if !invariant.Check(gw != nil && a.Call.Dest == gw.Exchange, f.core.Metrics.Violations,
-		"call %s is for gateway %08x",
-		a.Call.ID, a.Switch) {
+		"call %s is for gateway %08x", a.Call.ID, a.Switch) {
 		f.core.Ended(a, tinbeam.NotAttempted, 0, nil, 0)
 		return
 	}
@@ -498,32 +508,32 @@
 		return
 	}
 	l := gw.lines[i]
-	leg := &calledLeg{line: l, at: a}
+	leg := &calledLeg{line: l, attempt: a}
 	a.Leg, l.called = leg, leg
-	m := (&Message{Verb: "CRCX", Endpoint: l.name, SDP: a.Call.Description}).With("C", a.Call.ID)
+	m := (&Message{Verb: "CRCX", Endpoint: l.name, SDP: a.Call.Description}).AddParam("C", a.Call.ID)
 	if gw.ManualAnswer {
-		m = f.notify(l, m.With("M", "inactive"), "L/hd(N)", "L/rg")
+		m = f.addNotificationRequest(l, m.AddParam("M", "inactive"), "L/hd(N)", "L/rg")
 	} else {
-		m = f.notify(l, m.With("M", "sendrecv"), "L/hu(N)", "")
+		m = f.addNotificationRequest(l, m.AddParam("M", "sendrecv"), "L/hu(N)", "")
 	}
-	leg.create = f.tx.request(gw.addr, m, func(r *Message) { f.created(leg, r) })
-	f.report(gw)
+	leg.create = f.tx.request(gw.addr, m, func(r *Message) { f.handleCreated(leg, r) })
+	f.reportFreeLines(gw)
 }
 
-// created takes the response to the CRCX of an attempt.
-func (f *FrontEnd) created(leg *calledLeg, r *Message) {
+// handleCreated handles the response to the CRCX of an attempt.
+func (f *FrontEnd) handleCreated(leg *calledLeg, r *Message) {
 	leg.create = nil
-	l, a := leg.line, leg.at
+	l, a := leg.line, leg.attempt
 	if leg.ended {
-		f.orphan(l, a.Call.ID, r)
+		f.deleteOrphan(l, a.Call.ID, r)
 		return
 	}
 	if r != nil && r.Code < 300 {
-		leg.conn, _ = r.Get("I")
+		leg.connID, _ = r.Get("I")
 		leg.sdp = r.SDP
-		if leg.conn != "" {
+		if leg.connID != "" {
 			if !l.gw.ManualAnswer {
-				f.answered(leg)
+				f.reportAnswered(leg)
 			}
 			return
 		}
@@ -535,48 +545,48 @@
 		code = tinbeam.TimedOut
 	case r.Code == 401: // off hook: the line is busy
 		note = tinbeam.NoteBusy
-	case r.Code == 403 || r.Code == 502: // no resources, now or at all
+	case r.Code == 403 || r.Code == 502: // no resources, at present or permanently
 		code, note = tinbeam.Full, tinbeam.NoteNoCircuit
-	case r.Code == 409 || r.Code == 405: // overload, or starting anew
+	case r.Code == 409 || r.Code == 405: // processor overload, or restart in progress
 		code, note = tinbeam.Full, tinbeam.NoteProcessor
 	}
 	if r == nil || r.Code < 300 {
 		f.clear(l, a.Call.ID, "", nil)
 	} else {
-		f.arm(l)
-		f.report(l.gw)
+		f.requestOffHook(l)
+		f.reportFreeLines(l.gw)
 	}
 	f.core.Ended(a, code, note, nil, 0)
 }
 
-// answered: the called side has answered.
-func (f *FrontEnd) answered(leg *calledLeg) {
+// reportAnswered connects the called side and reports to the core that the attempt was answered.
+func (f *FrontEnd) reportAnswered(leg *calledLeg) {
 	l := leg.line
 	if l.gw.ManualAnswer {
-		m := (&Message{Verb: "MDCX", Endpoint: l.name}).With("C", leg.at.Call.ID).With("I", leg.conn).
-			With("M", "sendrecv")
-		f.tx.request(l.gw.addr, f.notify(l, m, "L/hu(N)", ""), nil)
+		m := (&Message{Verb: "MDCX", Endpoint: l.name}).AddParam("C", leg.attempt.Call.ID).AddParam("I", leg.connID).
+			AddParam("M", "sendrecv")
+		f.tx.request(l.gw.addr, f.addNotificationRequest(l, m, "L/hu(N)", ""), nil)
 	}
-	f.core.Answered(leg.at, leg.sdp)
+	f.core.Answered(leg.attempt, leg.sdp)
 }
 
-// Cancel takes an attempt back.
-func (f farSide) Cancel(a *agent.Attempt) { f.Release(a, 16) }
+// Cancel ends an attempt that has not been answered.
+func (f farEndSide) Cancel(a *agent.Attempt) { f.Release(a, 16) }
 
-// Release ends an attempt that stands.
-func (f farSide) Release(a *agent.Attempt, _ int) {
+// Release ends an established attempt.
+func (f farEndSide) Release(a *agent.Attempt, _ int) {
 	leg, ok := a.Leg.(*calledLeg)
 	if !ok || leg.ended {
 		return
 	}
 	leg.ended, leg.line.called = true, nil
-	f.clear(leg.line, a.Call.ID, leg.conn, leg.create)
+	f.clear(leg.line, a.Call.ID, leg.connID, leg.create)
 }
 
-// Probe has no command to ask a gateway for its load: its free lines are known here.
-func (f farSide) Probe(id uint32) {
+// Probe answers a load probe at once: MGCP has no command for it, and the front end knows the gateway's free lines.
+func (f farEndSide) Probe(id uint32) {
 	f.core.Probed(id, tinbeam.OK, 0, nil)
-	if gw := f.byID[id]; gw != nil {
-		f.report(gw)
+	if gw := f.gatewayByID[id]; gw != nil {
+		f.reportFreeLines(gw)
 	}
 }
--- a/internal/mgcp/message.go
+++ b/internal/mgcp/message.go
@@ -1,8 +1,8 @@
-// Package mgcp is the front towards gateways that speak MGCP (RFC 3435). The agent is their call agent: gateways
-// bring calls in on the caller side, and are far ends that attempts go out to, on the same core and under the same
-// rules as all else.
+// Package mgcp is the front end for gateways that speak MGCP (RFC 3435). The agent is their call agent. Gateways are
+// callers on the caller side, and far ends of attempts on the far-end side. They use the same core and follow the same
+// rules as all other callers and far ends.
 //
-// This file is pure: datagrams in, messages out, and the other way round.
+// This file parses datagrams into messages and encodes messages. It does no input or output and keeps no state.
 package mgcp
 
 import (
@@ -12,29 +12,29 @@
 	"strings"
 )
 
-// MaxDatagram bounds a datagram.
+// MaxDatagram is the maximum size of a datagram in bytes.
 const MaxDatagram = 16 << 10
 
-// ErrMalform is a datagram that holds no message.
-var ErrMalform = errors.New("mgcp: malformed message")
+// ErrMalformed reports a datagram that is too long or holds a message that cannot be parsed.
+var ErrMalformed = errors.New("mgcp: malformed message")
 
-const txMost = 999999999 // RFC 3435, section 3.2.1.2
+const maxTransactionID = 999999999 // RFC 3435, section 3.2.1.2
 
-// Param is one parameter line.
+// Param is one parameter line of a message.
 type Param struct{ Name, Value string }
 
-// Message is a command (Verb set) or a response.
+// Message is a command, if Verb is set, or else a response.
 type Message struct {
 	Verb     string
 	Endpoint string
 	Code     int
-	Tx       uint32
+	Tx       uint32 // transaction identifier
 	Comment  string
 	Params   []Param
 	SDP      string
 }
 
-// Get is the value of a parameter; ok tells whether it is there, for an empty one says something too.
+// Get returns the value of a parameter; ok is false if it is missing. An empty parameter differs from a missing one.
 func (m *Message) Get(name string) (value string, ok bool) {
 	for _, p := range m.Params {
 		if strings.EqualFold(p.Name, name) {
@@ -44,22 +44,22 @@
 	return "", false
 }
 
-// With adds a parameter.
-func (m *Message) With(name, value string) *Message {
+// AddParam appends a parameter and returns m.
+func (m *Message) AddParam(name, value string) *Message {
 	m.Params = append(m.Params, Param{name, value})
 	return m
 }
 
-// Parse reads the messages of a datagram: several may ride in one, with a line of one dot between them.
+// Parse returns the messages of a datagram. It may hold several, separated by lines that contain a single dot.
 func Parse(b []byte) ([]*Message, error) {
 	if len(b) > MaxDatagram {
-		return nil, ErrMalform
+		return nil, ErrMalformed
 	}
 	var out []*Message
-	var part []string
+	var lines []string
 	flush := func() error {
-		defer func() { part = nil }()
-		m, err := parseOne(part)
+		defer func() { lines = nil }()
+		m, err := parseOne(lines)
 		if m != nil {
 			out = append(out, m)
 		}
@@ -72,11 +72,12 @@
 			}
 			continue
 		}
-		part = append(part, line)
+		lines = append(lines, line)
 	}
 	return out, flush()
 }
 
+// parseOne parses the lines of one message. It returns nil without an error if they are all blank.
 func parseOne(lines []string) (*Message, error) {
 	for len(lines) > 0 && strings.TrimSpace(lines[0]) == "" {
 		lines = lines[1:]
@@ -86,21 +87,21 @@
 	}
 	f := strings.Fields(lines[0])
 	if len(f) < 2 {
-		return nil, ErrMalform
+		return nil, ErrMalformed
 	}
 	tx, err := strconv.ParseUint(f[1], 10, 32)
-	if err != nil || tx == 0 || tx > txMost {
-		return nil, ErrMalform
+	if err != nil || tx == 0 || tx > maxTransactionID {
+		return nil, ErrMalformed
 	}
 	m := &Message{Tx: uint32(tx)}
 	if code, err := strconv.Atoi(f[0]); err == nil {
 		if len(f[0]) != 3 || code < 0 {
-			return nil, ErrMalform
+			return nil, ErrMalformed
 		}
 		m.Code, m.Comment = code, strings.Join(f[2:], " ")
 	} else {
 		if len(f) < 5 || !isVerb(f[0]) || !strings.EqualFold(f[3], "MGCP") || !strings.HasPrefix(f[4], "1.") {
-			return nil, ErrMalform
+			return nil, ErrMalformed
 		}
 		m.Verb, m.Endpoint = strings.ToUpper(f[0]), f[2]
 	}
@@ -113,14 +114,14 @@
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok {
-			return nil, ErrMalform
+			return nil, ErrMalformed
 		}
 		m.Params = append(m.Params, Param{strings.TrimSpace(name), strings.TrimSpace(value)})
 	}
 	return m, nil
 }
 
-// isVerb tells whether a word can be a verb: four letters or digits.
+// isVerb reports whether s can be a verb: four letters or digits.
 func isVerb(s string) bool {
 	for _, c := range []byte(s) {
 		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9') {
@@ -130,7 +131,7 @@
 	return len(s) == 4
 }
 
-// Append writes the message behind dst.
+// Append appends the encoded message to dst and returns the result.
 func (m *Message) Append(dst []byte) []byte {
 	if m.Verb != "" {
 		dst = fmt.Appendf(dst, "%s %d %s MGCP 1.0\r\n", m.Verb, m.Tx, m.Endpoint)
@@ -150,8 +151,8 @@
 	return dst
 }
 
-// Events splits an O: parameter: L/hd, D/5 and the like, without their parameters.
-func Events(observed string) []string {
+// ParseEvents returns the events of an O: parameter (such as L/hd and D/5) in lower case and without their parameters.
+func ParseEvents(observed string) []string {
 	var out []string
 	for _, e := range strings.Split(observed, ",") {
 		e, _, _ = strings.Cut(strings.TrimSpace(e), "(")
@@ -162,22 +163,23 @@
 	return out
 }
 
-// ranges reads the transaction numbers of a K: parameter, as 12,15-17, and calls fn for no more than most.
-func ranges(k string, most int, fn func(uint32)) {
-	for _, part := range strings.Split(k, ",") {
-		lo, hi, two := strings.Cut(strings.TrimSpace(part), "-")
+// parseTransactionIDs parses the transaction identifiers of a K: parameter, such as 12,15-17, and calls fn for at most
+// limit of them.
+func parseTransactionIDs(list string, limit int, fn func(uint32)) {
+	for _, part := range strings.Split(list, ",") {
+		lo, hi, isRange := strings.Cut(strings.TrimSpace(part), "-")
 		a, err := strconv.ParseUint(lo, 10, 32)
 		if err != nil {
 			continue
 		}
 		b := a
-		if two {
+		if isRange {
 			if b, err = strconv.ParseUint(hi, 10, 32); err != nil {
 				continue
 			}
 		}
-		for ; a <= b && most > 0; a++ {
-			most--
+		for ; a <= b && limit > 0; a++ {
+			limit--
 			fn(uint32(a))
 		}
 	}
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -19,20 +19,20 @@
 		{Code: 200, Tx: 15, Comment: "OK", Params: []Param{{"I", "1A"}}, SDP: "v=0\r\ns=-\r\n"},
 		{Verb: "NTFY", Tx: 16, Endpoint: "aaln/1@g1", Params: []Param{{"X", "0"}, {"O", "L/hd, D/5(x),D/T"}}}}
 	if err != nil || !reflect.DeepEqual(list, want) {
-		t.Fatalf("%+v %v", list, err)
+		t.Fatalf("parsed %+v, error %v", list, err)
 	}
-	if e := Events(want[1].Params[1].Value); !reflect.DeepEqual(e, []string{"l/hd", "d/5", "d/t"}) {
+	if e := ParseEvents(want[1].Params[1].Value); !reflect.DeepEqual(e, []string{"l/hd", "d/5", "d/t"}) {
 		t.Errorf("events %q", e)
 	}
 	for _, m := range want {
-		if again, err := Parse(m.Append(nil)); err != nil || !reflect.DeepEqual(again, []*Message{m}) {
-			t.Errorf("%q read again: %v", m.Append(nil), err)
+		if parsed, err := Parse(m.Append(nil)); err != nil || !reflect.DeepEqual(parsed, []*Message{m}) {
+			t.Errorf("%q does not parse to the same message: %v", m.Append(nil), err)
 		}
 	}
 	for _, bad := range []string{"200", "2000 1 OK", "NTFY 0 a@b MGCP 1.0", "NTFY 1 a@b SIP 2.0", "200 1 OK\nno colon",
 		"NTFY 1000000000 a@b MGCP 1.0"} {
 		if _, err := Parse([]byte(bad)); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was accepted", bad)
 		}
 	}
 }
@@ -42,19 +42,20 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		list, _ := Parse(b)
 		for _, m := range list {
-			if again, err := Parse(m.Append(nil)); err != nil || len(again) == 0 {
-				t.Fatalf("%q is not read again: %v", m.Append(nil), err)
+			if parsed, err := Parse(m.Append(nil)); err != nil || len(parsed) == 0 {
+				t.Fatalf("%q cannot be parsed: %v", m.Append(nil), err)
 			}
 		}
 	})
 }
 
-// layer is a transaction layer on a clock of the test's own.
-func layer(command func(netip.AddrPort, *Message, func(*Message))) (*transactions, *[]string, func(time.Duration)) {
+// newTestLayer returns a transaction layer on a test clock, the datagrams that it sends, and a function that advances the
+// clock.
+func newTestLayer(handle func(netip.AddrPort, *Message, func(*Message))) (*transactions, *[]string, func(time.Duration)) {
 	now := time.Hour
 	loop := agent.NewLoop(func() time.Duration { return now })
 	var sent []string
-	t := newTransactions(loop, metrics.New(), 10, func(_ netip.AddrPort, b []byte) { sent = append(sent, string(b)) }, command)
+	t := newTransactions(loop, metrics.New(), 10, func(_ netip.AddrPort, b []byte) { sent = append(sent, string(b)) }, handle)
 	return t, &sent, func(d time.Duration) {
 		for end := now + d; now < end; now += 10 * time.Millisecond {
 			loop.Step()
@@ -63,91 +64,92 @@
 	}
 }
 
-var gate = netip.MustParseAddrPort("127.0.0.1:2427")
+var gatewayAddr = netip.MustParseAddrPort("127.0.0.1:2427")
 
-func TestResendAndConfirm(t *testing.T) {
-	x, sent, run := layer(nil)
+func TestRetransmitAndConfirm(t *testing.T) {
+	layer, sent, advance := newTestLayer(nil)
 	answers := 0
-	x.request(gate, &Message{Verb: "AUEP", Endpoint: "*@g"}, func(m *Message) { answers++ })
-	run(700 * time.Millisecond) // at 200 and 600 ms
+	layer.request(gatewayAddr, &Message{Verb: "AUEP", Endpoint: "*@g"}, func(m *Message) { answers++ })
+	advance(700 * time.Millisecond) // retransmitted at 200 and 600 ms
 	if len(*sent) != 3 {
-		t.Errorf("sent %d times", len(*sent))
+		t.Errorf("command sent %d times", len(*sent))
 	}
-	x.datagram(gate, []byte("100 11 Pending\n"))
-	run(3 * time.Second)
+	layer.handleDatagram(gatewayAddr, []byte("100 11 Pending\n"))
+	advance(3 * time.Second)
 	if len(*sent) != 3 {
-		t.Error("sent again though it is under way")
+		t.Error("retransmitted soon after a provisional response")
 	}
-	x.datagram(netip.MustParseAddrPort("127.0.0.2:2427"), []byte("200 11 OK\n")) // of somebody else
-	x.datagram(gate, []byte("200 11 OK\nK:\n"))
-	x.datagram(gate, []byte("200 11 OK\nK:\n"))
-	run(30 * time.Second)
+	layer.handleDatagram(netip.MustParseAddrPort("127.0.0.2:2427"), []byte("200 11 OK\n")) // from another address
+	layer.handleDatagram(gatewayAddr, []byte("200 11 OK\nK:\n"))
+	layer.handleDatagram(gatewayAddr, []byte("200 11 OK\nK:\n"))
+	advance(30 * time.Second)
 	if answers != 1 || len(*sent) != 5 || (*sent)[3] != "000 11\r\n" {
 		t.Errorf("%d answers, sent %q", answers, (*sent)[3:])
 	}
-	x.request(gate, &Message{Verb: "AUEP", Endpoint: "*@g"}, nil)
+	layer.request(gatewayAddr, &Message{Verb: "AUEP", Endpoint: "*@g"}, nil)
 	if got := (*sent)[5]; got != "AUEP 12 *@g MGCP 1.0\r\nK: 11\r\n" {
 		t.Errorf("sent %q", got)
 	}
 }
 
-// Guards what must not be sent again once its call is over: it is still heard, and ends some time.
-func TestHush(t *testing.T) {
-	x, sent, run := layer(nil)
+// Once its call is over, a command must not be retransmitted, but its response is still accepted, and without a response
+// the transaction ends after a time.
+func TestStopRetransmitting(t *testing.T) {
+	layer, sent, advance := newTestLayer(nil)
 	var got []*Message
-	tr := x.request(gate, &Message{Verb: "CRCX", Endpoint: "a@g"}, func(m *Message) { got = append(got, m) })
-	x.hush(tr)
-	run(5 * time.Second)
+	tr := layer.request(gatewayAddr, &Message{Verb: "CRCX", Endpoint: "a@g"}, func(m *Message) { got = append(got, m) })
+	layer.stopRetransmitting(tr)
+	advance(5 * time.Second)
 	if len(*sent) != 1 || len(got) != 0 {
-		t.Fatalf("sent %d, told %d", len(*sent), len(got))
+		t.Fatalf("%d commands sent, %d responses reported", len(*sent), len(got))
 	}
-	x.datagram(gate, []byte("200 11 OK\nI: 5\n"))
+	layer.handleDatagram(gatewayAddr, []byte("200 11 OK\nI: 5\n"))
 	if len(got) != 1 || got[0] == nil {
-		t.Fatalf("told %v", got)
+		t.Fatalf("responses reported: %v", got)
 	}
-	x.hush(tr) // spent: nothing happens
-	tr = x.request(gate, &Message{Verb: "CRCX", Endpoint: "a@g"}, func(m *Message) { got = append(got, m) })
-	run(30 * time.Second)
-	if len(got) != 2 || got[1] != nil || len(x.out) != 0 {
-		t.Errorf("one that is never answered: told %v", got[1:])
+	layer.stopRetransmitting(tr) // already finished: no effect
+	tr = layer.request(gatewayAddr, &Message{Verb: "CRCX", Endpoint: "a@g"}, func(m *Message) { got = append(got, m) })
+	advance(30 * time.Second)
+	if len(got) != 2 || got[1] != nil || len(layer.pending) != 0 {
+		t.Errorf("command without a response: reported %v", got[1:])
 	}
 }
 
 func TestCommandRunsOnce(t *testing.T) {
-	ran := 0
-	var later func(*Message)
-	x, sent, run := layer(func(_ netip.AddrPort, m *Message, reply func(*Message)) {
-		if ran++; m.Verb == "NTFY" {
+	runs := 0
+	var pendingReply func(*Message)
+	layer, sent, advance := newTestLayer(func(_ netip.AddrPort, m *Message, reply func(*Message)) {
+		if runs++; m.Verb == "NTFY" {
 			reply(&Message{Code: 200, Comment: "OK"})
 		} else {
-			later = reply
+			pendingReply = reply
 		}
 	})
 	ntfy, rsip := []byte("NTFY 5 a@g MGCP 1.0\n"), []byte("RSIP 6 a@g MGCP 1.0\n")
 	for _, b := range [][]byte{ntfy, ntfy, rsip, rsip} {
-		x.datagram(gate, b)
+		layer.handleDatagram(gatewayAddr, b)
 	}
-	later(&Message{Code: 200, Comment: "OK"})
-	later(&Message{Code: 200, Comment: "OK"}) // twice by mistake
-	x.datagram(gate, rsip)
+	pendingReply(&Message{Code: 200, Comment: "OK"})
+	pendingReply(&Message{Code: 200, Comment: "OK"}) // a second reply is ignored
+	layer.handleDatagram(gatewayAddr, rsip)
 	want := []string{"200 5 OK\r\n", "200 5 OK\r\n", "100 6 Pending\r\n", "200 6 OK\r\n", "200 6 OK\r\n"}
-	if !reflect.DeepEqual(*sent, want) || ran != 2 {
-		t.Errorf("ran %d, sent %q", ran, *sent)
+	if !reflect.DeepEqual(*sent, want) || runs != 2 {
+		t.Errorf("%d commands executed, sent %q", runs, *sent)
 	}
-	// Confirmed, the copy goes, but the number stays known until its time.
-	x.datagram(gate, []byte("NTFY 7 a@g MGCP 1.0\nK: 5-6, x\n"))
-	x.datagram(gate, ntfy)
-	if len(*sent) != 6 || ran != 3 {
-		t.Errorf("ran %d, sent %q", ran, (*sent)[5:])
+	// Once the response is confirmed, its copy is removed, but the transaction identifier is kept until T-HIST has passed.
+	layer.handleDatagram(gatewayAddr, []byte("NTFY 7 a@g MGCP 1.0\nK: 5-6, x\n"))
+	layer.handleDatagram(gatewayAddr, ntfy)
+	if len(*sent) != 6 || runs != 3 {
+		t.Errorf("%d commands executed, sent %q", runs, (*sent)[5:])
 	}
-	run(31 * time.Second)
-	x.datagram(gate, ntfy)
-	if ran != 4 || len(x.cache) != 1 {
-		t.Errorf("after its time: ran %d, %d kept", ran, len(x.cache))
+	advance(31 * time.Second)
+	layer.handleDatagram(gatewayAddr, ntfy)
+	if runs != 4 || len(layer.cache) != 1 {
+		t.Errorf("after T-HIST: %d commands executed, %d cached", runs, len(layer.cache))
 	}
 }
 
-// The house style asks for netpoll; this measures why the one UDP socket is not netpoll's.
+// The project uses netpoll for its connections. This checks the reason why Socket does not: netpoll has no UDP support.
 func TestNetpollHasNoDatagrams(t *testing.T) {
 	ln, err := netpoll.CreateListener("udp", "127.0.0.1:0")
 	if err != nil {
@@ -155,9 +157,9 @@
 	}
 	defer ln.Close()
 	if c, err := ln.Accept(); err == nil && c != nil {
-		t.Error("netpoll takes datagrams now: use it for Socket")
+		t.Error("netpoll can listen on UDP now: use it for Socket")
 	}
 	if _, err := netpoll.DialConnection("udp", "127.0.0.1:9", time.Second); err == nil {
-		t.Error("netpoll dials UDP now: use it for Socket")
+		t.Error("netpoll can dial UDP now: use it for Socket")
 	}
 }
--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -11,205 +11,218 @@
 	"tinbeam/internal/metrics"
 )
 
-// Figures of RFC 3435, section 3.5 and appendix B.
+// Timers and limits of the transaction layer, from RFC 3435, section 3.5 and appendix B.
 const (
-	firstResend = 200 * time.Millisecond
-	mostResend  = 4 * time.Second
-	transMost   = 20 * time.Second // T-Max: no command is repeated later than this
-	histFor     = 30 * time.Second // T-HIST: how long responses are kept
-	acksMost    = 20               // responses confirmed in one K:
-	cacheMost   = 8192             // responses kept; past it the oldest go first
+	initialRetransmit  = 200 * time.Millisecond
+	maxRetransmit      = 4 * time.Second
+	maxTransactionTime = 20 * time.Second // T-Max: no command is retransmitted after this time
+	responseTTL        = 30 * time.Second // T-HIST: how long responses are kept for retransmitted commands
+	maxAcksPerMessage  = 20               // responses confirmed in one K: parameter
+	maxCachedResponses = 8192             // if there are more, the oldest are removed first
 )
 
-// Send puts a datagram on the wire; it does not block.
+// Send sends a datagram without blocking.
 type Send func(to netip.AddrPort, b []byte)
 
-// transactions is the transaction layer: every command is carried out at most once, and none is lost to a lost datagram.
+// transactions is the transaction layer. It executes each received command at most once, and retransmits sent commands
+// so that a lost datagram does not lose a command.
 type transactions struct {
-	loop  *agent.Loop
-	m     *metrics.Set
-	send  Send
-	last  uint32
-	out   map[uint32]*transaction
-	acks  map[netip.AddrPort][]uint32
-	cache map[cacheKey]*cached
-	order []*cached
-	// command carries out a command; it calls reply once.
-	command func(from netip.AddrPort, m *Message, reply func(*Message))
+	loop       *agent.Loop
+	counters   *metrics.Set
+	send       Send
+	lastID     uint32
+	pending    map[uint32]*transaction
+	acks       map[netip.AddrPort][]uint32 // responses to confirm with the next command
+	cache      map[responseKey]*cachedResponse
+	cacheOrder []*cachedResponse
+	// handle executes a received command and calls reply once.
+	handle func(from netip.AddrPort, m *Message, reply func(*Message))
 }
 
-// transaction is one command of ours.
+// transaction is a command that the agent has sent and whose response is pending.
 type transaction struct {
-	id    uint32
-	to    netip.AddrPort
-	bytes []byte
-	began time.Duration
-	wait  time.Duration
-	timer *agent.Timer
-	quiet bool
-	done  func(*Message)
+	id              uint32
+	to              netip.AddrPort
+	bytes           []byte
+	startedAt       time.Duration
+	retransmitDelay time.Duration
+	timer           *agent.Timer
+	noRetransmit    bool
+	onResponse      func(*Message)
 }
 
-type cacheKey struct {
+// responseKey identifies a received command.
+type responseKey struct {
 	from netip.AddrPort
 	tx   uint32
 }
 
-// cached is a command of a gateway's and what it was answered.
-type cached struct {
-	key   cacheKey
-	at    time.Duration
-	reply []byte // nil: it is still being carried out, or the response was confirmed
-	acked bool
+// cachedResponse is a command received from a gateway and the response to it.
+type cachedResponse struct {
+	key        responseKey
+	receivedAt time.Duration
+	reply      []byte // nil: the command is still in progress, or the gateway has confirmed the response
+	confirmed  bool
 }
 
-func newTransactions(loop *agent.Loop, m *metrics.Set, first uint32, send Send,
-	command func(netip.AddrPort, *Message, func(*Message))) *transactions {
-	return &transactions{loop: loop, m: m, send: send, last: first % txMost, out: map[uint32]*transaction{},
-		acks: map[netip.AddrPort][]uint32{}, cache: map[cacheKey]*cached{}, command: command}
+func newTransactions(loop *agent.Loop, counters *metrics.Set, firstID uint32, send Send,
+	handle func(netip.AddrPort, *Message, func(*Message))) *transactions {
+	return &transactions{loop: loop, counters: counters, send: send, lastID: firstID % maxTransactionID,
+		pending: map[uint32]*transaction{}, acks: map[netip.AddrPort][]uint32{}, cache: map[responseKey]*cachedResponse{},
+		handle: handle}
 }
 
-// request sends a command until it is answered; done gets the final response, or nil where none came.
-func (t *transactions) request(to netip.AddrPort, m *Message, done func(*Message)) *transaction {
-	for t.last = t.last%txMost + 1; t.out[t.last] != nil; t.last = t.last%txMost + 1 {
+// request sends a command and retransmits it until a response arrives. It calls onResponse with the final response, or
+// with nil if none arrived in time.
+func (t *transactions) request(to netip.AddrPort, m *Message, onResponse func(*Message)) *transaction {
+	for t.lastID = t.lastID%maxTransactionID + 1; t.pending[t.lastID] != nil; t.lastID = t.lastID%maxTransactionID + 1 {
 	}
-	m.Tx = t.last
+	m.Tx = t.lastID
 	if acks := t.acks[to]; len(acks) > 0 {
 		var list []string
-		for _, id := range acks[:min(len(acks), acksMost)] {
+		for _, id := range acks[:min(len(acks), maxAcksPerMessage)] {
 			list = append(list, strconv.FormatUint(uint64(id), 10))
 		}
-		m.With("K", strings.Join(list, ","))
+		m.AddParam("K", strings.Join(list, ","))
 		delete(t.acks, to)
 	}
-	x := &transaction{id: m.Tx, to: to, bytes: m.Append(nil), began: t.loop.Now(), wait: firstResend, done: done}
-	t.out[x.id] = x
-	t.m.MGCPOut.Inc()
+	x := &transaction{id: m.Tx, to: to, bytes: m.Append(nil), startedAt: t.loop.Now(),
+		retransmitDelay: initialRetransmit, onResponse: onResponse}
+	t.pending[x.id] = x
+	t.counters.MGCPOut.Inc()
 	t.send(to, x.bytes)
-	x.timer = t.loop.After(x.wait, func() { t.again(x) })
+	x.timer = t.loop.After(x.retransmitDelay, func() { t.retransmit(x) })
 	return x
 }
 
-func (t *transactions) again(x *transaction) {
-	if x.quiet || t.loop.Now()-x.began >= transMost {
-		t.end(x, nil)
+// retransmit sends a command again, unless it is time to give up: then the transaction ends without a response.
+func (t *transactions) retransmit(x *transaction) {
+	if x.noRetransmit || t.loop.Now()-x.startedAt >= maxTransactionTime {
+		t.finish(x, nil)
 		return
 	}
-	t.m.MGCPResent.Inc()
+	t.counters.MGCPResent.Inc()
 	t.send(x.to, x.bytes)
-	x.wait = min(2*x.wait, mostResend)
-	x.timer = t.loop.After(x.wait, func() { t.again(x) })
+	x.retransmitDelay = min(2*x.retransmitDelay, maxRetransmit)
+	x.timer = t.loop.After(x.retransmitDelay, func() { t.retransmit(x) })
 }
 
-func (t *transactions) end(x *transaction, m *Message) {
-	if t.out[x.id] != x {
+// finish ends a transaction with its final response, or with nil if there was none.
+func (t *transactions) finish(x *transaction, m *Message) {
+	if t.pending[x.id] != x {
 		return
 	}
 	t.loop.Stop(x.timer)
-	delete(t.out, x.id)
-	if x.done != nil {
-		x.done(m)
+	delete(t.pending, x.id)
+	if x.onResponse != nil {
+		x.onResponse(m)
 	}
 }
 
-// hush stops sending a command again, but still hears its response: it may have been carried out, or be under way.
-func (t *transactions) hush(x *transaction) {
-	if x == nil || x.quiet || t.out[x.id] != x {
+// stopRetransmitting ends the retransmission of a command but still accepts its response, since the gateway may have
+// executed the command already, or be executing it.
+func (t *transactions) stopRetransmitting(x *transaction) {
+	if x == nil || x.noRetransmit || t.pending[x.id] != x {
 		return
 	}
-	x.quiet = true
+	x.noRetransmit = true
 	t.loop.Stop(x.timer)
-	x.timer = t.loop.After(histFor, func() { t.again(x) })
+	x.timer = t.loop.After(responseTTL, func() { t.retransmit(x) })
 }
 
-// forget drops a command and whatever comes for it.
-func (t *transactions) forget(x *transaction) {
+// drop ends a transaction without a call of onResponse. A response that arrives later counts as stray.
+func (t *transactions) drop(x *transaction) {
 	if x != nil {
-		x.done = nil
-		t.end(x, nil)
+		x.onResponse = nil
+		t.finish(x, nil)
 	}
 }
 
-// datagram takes what came in.
-func (t *transactions) datagram(from netip.AddrPort, b []byte) {
+// handleDatagram parses a received datagram and handles the messages in it.
+func (t *transactions) handleDatagram(from netip.AddrPort, b []byte) {
 	list, err := Parse(b)
 	if err != nil {
-		t.m.Malformed.Inc()
+		t.counters.Malformed.Inc()
 		if f := bytes.Fields(b); len(list) == 0 && len(f) > 1 && len(f[0]) == 4 {
-			if tx, err := strconv.ParseUint(string(f[1]), 10, 32); err == nil && tx > 0 && tx <= txMost {
+			if tx, err := strconv.ParseUint(string(f[1]), 10, 32); err == nil && tx > 0 && tx <= maxTransactionID {
 				t.send(from, (&Message{Code: 510, Tx: uint32(tx), Comment: "Protocol error"}).Append(nil))
 			}
 		}
 	}
 	for _, m := range list {
 		if m.Verb == "" {
-			t.response(from, m)
+			t.handleResponse(from, m)
 		} else {
-			t.incoming(from, m)
+			t.handleCommand(from, m)
 		}
 	}
 }
 
-func (t *transactions) response(from netip.AddrPort, m *Message) {
+// handleResponse matches a response to the command it answers.
+func (t *transactions) handleResponse(from netip.AddrPort, m *Message) {
 	if m.Code == 0 {
-		return // a response acknowledgement: what it confirms is kept until its time, so that nothing runs twice
+		return // a response acknowledgement; the confirmed response stays known until T-HIST, so no command runs twice
 	}
-	x := t.out[m.Tx]
+	x := t.pending[m.Tx]
 	if m.Code >= 200 {
-		if _, asks := m.Get("K"); asks {
+		if _, ackRequested := m.Get("K"); ackRequested {
 			t.send(from, (&Message{Code: 0, Tx: m.Tx}).Append(nil))
 		}
 	}
 	if x == nil || x.to != from {
-		t.m.StrayMessages.Inc()
+		t.counters.StrayMessages.Inc()
 		return
 	}
 	if m.Code < 200 {
-		// Under way: it need not be sent again soon, but a final response that is lost must be asked for.
-		if !x.quiet {
+		// Provisional response: the gateway has the command. Retransmission continues at the longest interval, since the
+		// final response may get lost.
+		if !x.noRetransmit {
 			t.loop.Stop(x.timer)
-			x.wait = mostResend
-			x.timer = t.loop.After(x.wait, func() { t.again(x) })
+			x.retransmitDelay = maxRetransmit
+			x.timer = t.loop.After(x.retransmitDelay, func() { t.retransmit(x) })
 		}
 		return
 	}
-	if a := t.acks[from]; len(a) < 4*acksMost {
+	if a := t.acks[from]; len(a) < 4*maxAcksPerMessage {
 		t.acks[from] = append(a, m.Tx)
 	}
-	t.end(x, m)
+	t.finish(x, m)
 }
 
-func (t *transactions) incoming(from netip.AddrPort, m *Message) {
+// handleCommand executes a received command, or repeats the response if the command was received before.
+func (t *transactions) handleCommand(from netip.AddrPort, m *Message) {
 	if k, ok := m.Get("K"); ok {
-		ranges(k, 4*acksMost, func(tx uint32) {
-			// The gateway has the response: its copy may go, but the number stays known until its time.
-			if c := t.cache[cacheKey{from, tx}]; c != nil && c.reply != nil {
-				c.reply, c.acked = nil, true
+		parseTransactionIDs(k, 4*maxAcksPerMessage, func(tx uint32) {
+			// The gateway has the response, so the copy is no longer needed. The transaction identifier is kept until
+			// T-HIST has passed.
+			if c := t.cache[responseKey{from, tx}]; c != nil && c.reply != nil {
+				c.reply, c.confirmed = nil, true
 			}
 		})
 	}
 	now := t.loop.Now()
-	for len(t.order) > 0 && (len(t.order) >= cacheMost || now-t.order[0].at > histFor) {
-		delete(t.cache, t.order[0].key)
-		t.order = t.order[1:]
+	for len(t.cacheOrder) > 0 &&
+		(len(t.cacheOrder) >= maxCachedResponses || now-t.cacheOrder[0].receivedAt > responseTTL) {
+		delete(t.cache, t.cacheOrder[0].key)
+		t.cacheOrder = t.cacheOrder[1:]
 	}
-	key := cacheKey{from, m.Tx}
+	key := responseKey{from, m.Tx}
 	if c := t.cache[key]; c != nil {
-		// Guards against a command that comes again, its response lost or late: it must not be carried out twice.
-		t.m.MGCPReplayed.Inc()
+		// A gateway retransmits a command when the response is lost or late. Without this, it would be executed twice.
+		t.counters.MGCPReplayed.Inc()
 		if c.reply != nil {
 			t.send(from, c.reply)
-		} else if !c.acked {
+		} else if !c.confirmed {
 			t.send(from, (&Message{Code: 100, Tx: m.Tx, Comment: "Pending"}).Append(nil))
 		}
 		return
 	}
-	c := &cached{key: key, at: now}
+	c := &cachedResponse{key: key, receivedAt: now}
 	t.cache[key] = c
-	t.order = append(t.order, c)
-	t.m.MGCPIn.Inc()
-	t.command(from, m, func(r *Message) {
-		if c.reply == nil && !c.acked {
+	t.cacheOrder = append(t.cacheOrder, c)
+	t.counters.MGCPIn.Inc()
+	t.handle(from, m, func(r *Message) {
+		if c.reply == nil && !c.confirmed {
 			r.Tx = m.Tx
 			c.reply = r.Append(nil)
 			t.send(from, c.reply)
--- a/internal/mgcp/udp.go
+++ b/internal/mgcp/udp.go
@@ -9,11 +9,12 @@
 	"tinbeam/internal/metrics"
 )
 
-// Socket is the UDP socket of the front. It is not netpoll's: netpoll 0.7 has no datagrams (TestNetpollHasNoDatagrams
-// measures it), so one goroutine reads the one socket, and posts as the connections' callbacks do.
+// Socket is the UDP socket of the front end. It does not use netpoll, since netpoll 0.7 does not support datagrams
+// (TestNetpollHasNoDatagrams checks this). Instead, one goroutine reads the socket and posts to the core's loop, as the
+// callbacks of connections do.
 type Socket struct{ conn *net.UDPConn }
 
-// Listen opens the socket.
+// Listen opens a socket on addr.
 func Listen(addr string) (*Socket, error) {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -26,14 +27,15 @@
 	return &Socket{conn}, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address that the socket is bound to.
 func (s *Socket) Addr() netip.AddrPort { return s.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Send sends a datagram. One that the kernel does not take is lost, as any datagram can be: it is sent again.
+// Send sends a datagram. If the kernel does not accept it, it is lost as any datagram may be, and the transaction layer
+// retransmits it.
 func (s *Socket) Send(to netip.AddrPort, b []byte) { _, _ = s.conn.WriteToUDPAddrPort(b, to) }
 
-// Serve posts what comes to the loop until the socket is closed.
-func (s *Socket) Serve(loop *agent.Loop, m *metrics.Set, datagram func(netip.AddrPort, []byte)) {
+// Serve reads datagrams and posts each to the loop, where handle is called, until the socket is closed.
+func (s *Socket) Serve(loop *agent.Loop, counters *metrics.Set, handle func(netip.AddrPort, []byte)) {
 	buf := make([]byte, MaxDatagram+1)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
@@ -41,12 +43,12 @@
 			return
 		}
 		if err != nil || n > MaxDatagram {
-			m.Malformed.Inc()
+			counters.Malformed.Inc()
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		b := append([]byte(nil), buf[:n]...)
-		loop.Post(func() { datagram(from, b) })
+		loop.Post(func() { handle(from, b) })
 	}
 }
 
