--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -13,12 +13,12 @@
 
 // Timers and limits of the transaction layer, from RFC 3435, section 3.5 and appendix B.
 const (
-	initialRetransmit  = 200 * time.Millisecond
-	maxRetransmit      = 4 * time.Second
-	maxTransactionTime = 20 * time.Second // T-Max: no command is retransmitted after this time
-	responseTTL        = 30 * time.Second // T-HIST: how long responses are kept for retransmitted commands
-	maxAcksPerMessage  = 20               // responses confirmed in one K: parameter
-	maxCachedResponses = 8192             // if there are more, the oldest are removed first
+	initialRetransmitDelay = 200 * time.Millisecond
+	maxRetransmitDelay     = 4 * time.Second
+	maxTransactionTime     = 20 * time.Second // T-Max: no command is retransmitted after this time
+	responseTTL            = 30 * time.Second // T-HIST: how long responses are kept for retransmitted commands
+	maxAcksPerMessage      = 20               // responses confirmed in one K: parameter
+	maxCachedResponses     = 8192             // if there are more, the oldest are removed first
 )
 
 // Send sends a datagram without blocking.
@@ -32,7 +32,7 @@
 	send       Send
 	lastID     uint32
 	pending    map[uint32]*transaction
-	acks       map[netip.AddrPort][]uint32 // responses to confirm with the next command
+	acks       map[netip.AddrPort][]uint32 // transaction identifiers to confirm in the next K: parameter
 	cache      map[responseKey]*cachedResponse
 	cacheOrder []*cachedResponse
 	// handle executes a received command and calls reply once.
@@ -87,7 +87,7 @@
 		delete(t.acks, to)
 	}
 	x := &transaction{id: m.Tx, to: to, bytes: m.Append(nil), startedAt: t.loop.Now(),
-		retransmitDelay: initialRetransmit, onResponse: onResponse}
+		retransmitDelay: initialRetransmitDelay, onResponse: onResponse}
 	t.pending[x.id] = x
 	t.counters.MGCPOut.Inc()
 	t.send(to, x.bytes)
@@ -103,7 +103,7 @@
 	}
 	t.counters.MGCPResent.Inc()
 	t.send(x.to, x.bytes)
-	x.retransmitDelay = min(2*x.retransmitDelay, maxRetransmit)
+	x.retransmitDelay = min(2*x.retransmitDelay, maxRetransmitDelay)
 	x.timer = t.loop.After(x.retransmitDelay, func() { t.retransmit(x) })
 }
 
@@ -178,7 +178,7 @@
 		// final response may get lost.
 		if !x.noRetransmit {
 			t.loop.Stop(x.timer)
-			x.retransmitDelay = maxRetransmit
+			x.retransmitDelay = maxRetransmitDelay
 			x.timer = t.loop.After(x.retransmitDelay, func() { t.retransmit(x) })
 		}
 		return
