--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -1,5 +1,5 @@
-// Package sip reads and writes the SIP messages that callers and the agent exchange over a stream
-// (RFC 3261). It is pure: bytes in, messages out, and the other way round.
+// Package sip parses and serializes the SIP messages (RFC 3261) that callers and the agent exchange over a stream
+// connection. It does no I/O: it converts bytes to messages and messages to bytes.
 package sip
 
 import (
@@ -9,21 +9,20 @@
 	"strings"
 )
 
-// MaxMessage bounds a whole message, head and description.
-const MaxMessage = 16 << 10
+// MaxMessageSize is the maximum size in bytes of a whole message, header and body.
+const MaxMessageSize = 16 << 10
 
-// What a stream can hold that is no message. After any of them the stream cannot be followed further,
-// for where the next message starts is not known.
+// Parse errors. After any of them the rest of the stream is unusable, because the start of the next message is unknown.
 var (
 	ErrTooLong   = errors.New("sip: message longer than 16 KiB")
 	ErrMalformed = errors.New("sip: malformed message")
-	ErrNoLength  = errors.New("sip: no usable Content-Length")
+	ErrNoLength  = errors.New("sip: missing or invalid Content-Length")
 )
 
 // Header is one header field.
 type Header struct{ Name, Value string }
 
-// Message is a request (Method set) or an answer (Status set).
+// Message is a request (Method set) or a response (Status set).
 type Message struct {
 	Method, URI string
 	Status      int
@@ -32,11 +31,12 @@
 	Body        string
 }
 
-// The compact forms of RFC 3261, section 7.3.3, of the headers that are read here.
-var compact = map[string]string{"i": "Call-ID", "l": "Content-Length", "v": "Via", "f": "From", "t": "To",
+// compactForms maps the compact header names of RFC 3261, section 7.3.3, to the full names, for the headers that the agent
+// reads.
+var compactForms = map[string]string{"i": "Call-ID", "l": "Content-Length", "v": "Via", "f": "From", "t": "To",
 	"m": "Contact", "c": "Content-Type"}
 
-// Get is the first value of a header, or "".
+// Get returns the first value of the named header, or "" if there is none. Case does not matter.
 func (m *Message) Get(name string) string {
 	for _, h := range m.Headers {
 		if strings.EqualFold(h.Name, name) {
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// CSeqMethod is the method that the CSeq header names.
+// CSeqMethod returns the method in the CSeq header, or "" if the header is missing or malformed.
 func (m *Message) CSeqMethod() string {
 	if f := strings.Fields(m.Get("CSeq")); len(f) == 2 {
 		return f[1]
@@ -54,35 +54,35 @@
 	return ""
 }
 
-// User is the user part of the address in the request line.
+// User returns the user part of the request URI.
 func (m *Message) User() string {
 	_, rest, _ := strings.Cut(m.URI, ":")
 	user, _, _ := strings.Cut(rest, "@")
 	return user
 }
 
-// Parse reads the first message of b and tells how many bytes it took; with none whole yet, it returns
-// nil and 0 (or the blank lines between messages that may be dropped). With an error it returns the
-// message as far as it could be read, so that it can be refused.
+// Parse parses the first message in b and returns it with the number of bytes consumed. If b holds no complete message yet,
+// it returns nil and 0, or the length of leading blank lines, which can be discarded. With an error it returns the part of the
+// message that it could parse, or nil, so that a malformed request can be refused.
 func Parse(b []byte) (*Message, int, error) {
 	start := 0
 	for start < len(b) && (b[start] == '\r' || b[start] == '\n') {
-		start++ // RFC 3261, section 7.5: blank lines before a message, and keep-alives
+		start++ // RFC 3261, section 7.5: skip blank lines before a message; they also serve as keep-alives
 	}
 	head := b[start:]
 	end := bytes.Index(head, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(head) > MaxMessage {
+		if len(head) > MaxMessageSize {
 			return nil, start, ErrTooLong
 		}
 		return nil, start, nil
 	}
-	if end+4 > MaxMessage {
+	if end+4 > MaxMessageSize {
 		return nil, start, ErrTooLong
 	}
 	lines := strings.Split(string(head[:end]), "\r\n")
 	m := &Message{}
-	if err := m.firstLine(lines[0]); err != nil {
+	if err := m.parseStartLine(lines[0]); err != nil {
 		return m, start, err
 	}
 	for _, line := range lines[1:] {
@@ -96,8 +96,8 @@
 		if !ok || name == "" {
 			return m, start, ErrMalformed
 		}
-		if long := compact[strings.ToLower(name)]; long != "" {
-			name = long
+		if full := compactForms[strings.ToLower(name)]; full != "" {
+			name = full
 		}
 		m.Headers = append(m.Headers, Header{name, strings.TrimSpace(value)})
 	}
@@ -105,7 +105,7 @@
 	switch {
 	case err != nil || n < 0:
 		return m, start, ErrNoLength
-	case end+4+n > MaxMessage:
+	case end+4+n > MaxMessageSize:
 		return m, start, ErrTooLong
 	case len(head) < end+4+n:
 		return nil, start, nil
@@ -114,25 +114,26 @@
 	return m, start + end + 4 + n, nil
 }
 
-func (m *Message) firstLine(line string) error {
-	a, rest, _ := strings.Cut(line, " ")
-	b, c, _ := strings.Cut(rest, " ")
-	if a == "SIP/2.0" {
-		n, err := strconv.Atoi(b)
-		if err != nil || n < 100 || n > 699 {
+// parseStartLine parses the request line or the status line.
+func (m *Message) parseStartLine(line string) error {
+	first, rest, _ := strings.Cut(line, " ")
+	second, third, _ := strings.Cut(rest, " ")
+	if first == "SIP/2.0" {
+		status, err := strconv.Atoi(second)
+		if err != nil || status < 100 || status > 699 {
 			return ErrMalformed
 		}
-		m.Status, m.Reason = n, c
+		m.Status, m.Reason = status, third
 		return nil
 	}
-	if a == "" || b == "" || c != "SIP/2.0" {
+	if first == "" || second == "" || third != "SIP/2.0" {
 		return ErrMalformed
 	}
-	m.Method, m.URI = a, b
+	m.Method, m.URI = first, second
 	return nil
 }
 
-// Append writes the message behind dst. Content-Length is always written here.
+// Append appends the serialized message to dst. It always writes Content-Length itself, from the length of the body.
 func (m *Message) Append(dst []byte) []byte {
 	if m.Status != 0 {
 		dst = append(dst, "SIP/2.0 "...)
@@ -151,8 +152,8 @@
 	return append(append(dst, "\r\n\r\n"...), m.Body...)
 }
 
-// CloneForResponses is the request without what is of no use once it has been taken in: what its answers copy, and no more. It shares
-// no memory with the message, whose strings are parts of one.
+// CloneForResponses returns a copy of a request with only the method and the headers that its responses repeat. The strings
+// are cloned: those of a parsed message are slices of one large string, which the copy would otherwise keep in memory.
 func (m *Message) CloneForResponses() *Message {
 	h := &Message{Method: strings.Clone(m.Method)}
 	for _, x := range m.Response(0, "", "").Headers {
@@ -161,8 +162,9 @@
 	return h
 }
 
-// Response is the answer to a request: its path and identity are copied, as section 8.2.6.2 asks.
-func (m *Message) Response(status int, reason, body string, more ...Header) *Message {
+// Response returns a response to the request. It copies the headers that RFC 3261, section 8.2.6.2, requires (Via, From, To,
+// Call-ID and CSeq) and adds the extra ones.
+func (m *Message) Response(status int, reason, body string, extra ...Header) *Message {
 	r := &Message{Status: status, Reason: reason, Body: body}
 	for _, h := range m.Headers {
 		switch strings.ToLower(h.Name) {
@@ -170,6 +172,6 @@
 			r.Headers = append(r.Headers, h)
 		}
 	}
-	r.Headers = append(r.Headers, more...)
+	r.Headers = append(r.Headers, extra...)
 	return r
 }
