--- a/internal/farend/farend.go
+++ b/internal/farend/farend.go
@@ -1,5 +1,5 @@
-// Package farend reads and writes the JSON lines that are spoken with far ends. It is pure: bytes in,
-// lines out, and the other way round.
+// Package farend parses and serializes the messages exchanged with far ends: JSON objects, one per line. It does no I/O: it
+// converts bytes to messages and messages to bytes.
 package farend
 
 import (
@@ -14,10 +14,10 @@
 	"tinbeam"
 )
 
-// MaxLine bounds a line, its line feed included.
+// MaxLine is the maximum size in bytes of a line, including its line feed.
 const MaxLine = 16 << 10
 
-// The types of a line.
+// The kinds of message.
 const (
 	Launch  = "launch"
 	Staging = "staging"
@@ -29,26 +29,26 @@
 	Usage   = "usage"
 )
 
-// The causes that a line can bear.
+// The values of the "reason" key: Q.850 causes, and in a Checked message the result of the health check.
 const (
-	CauseNormal      = 16
-	CauseBusy        = 17
-	CauseFull        = 34
-	CauseReset       = 41
-	CauseFault       = 47
-	CauseTimerExpiry = 102
+	CauseNormal      = 16  // normal call clearing
+	CauseBusy        = 17  // user busy
+	CauseFull        = 34  // no circuit available
+	CauseReset       = 41  // temporary failure
+	CauseFault       = 47  // resource unavailable
+	CauseTimerExpiry = 102 // recovery on timer expiry
 	CheckPassed      = 1
 	CheckFailed      = 0
 )
 
-// What a stream can hold that is no line. After either the stream cannot be followed further: the next line may be the
-// rest of this one.
+// Parse errors. After either of them the rest of the stream is unusable, because the next line may be the remainder of the
+// faulty one.
 var (
 	ErrTooLong   = errors.New("farend: line longer than 16 KiB")
 	ErrMalformed = errors.New("farend: malformed line")
 )
 
-// Message is one message.
+// Message is one message, as a far end sends or receives it.
 type Message struct {
 	Kind  string
 	UID   string
@@ -57,7 +57,8 @@
 	Body  string
 }
 
-type wire struct {
+// encoded is a Message in its JSON form.
+type encoded struct {
 	Kind  string         `json:"kind"`
 	UID   string         `json:"uid"`
 	Meta  map[string]any `json:"meta"`
@@ -65,9 +66,9 @@
 	Body  *string        `json:"body,omitempty"`
 }
 
-// Parse reads the first line of b and tells how many bytes it took; with none whole yet it returns nil
-// and 0.
-func Parse(b []byte) (line *Message, n int, err error) {
+// Parse parses the first line in b and returns its message with the number of bytes consumed. If b holds no complete line yet,
+// it returns nil and 0; for a blank line it returns nil and the length of the line.
+func Parse(b []byte) (m *Message, n int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 && len(b) >= MaxLine || end >= MaxLine {
 		return nil, 0, ErrTooLong
@@ -79,67 +80,68 @@
 	if len(bytes.TrimSpace(b[:end])) == 0 {
 		return nil, n, nil
 	}
-	var w wire
+	var in encoded
 	dec := json.NewDecoder(bytes.NewReader(b[:end]))
 	dec.UseNumber()
-	// Guards against what would be passed on spoilt: JSON that is not UTF-8 is mended on reading without a word, what
-	// stands behind an object is passed over, and an answer that was cut may have no description.
-	if !utf8.Valid(b[:end]) || dec.Decode(&w) != nil || w.Kind == "" || dec.More() || w.Kind == Running && w.Body == nil {
+	// Without these checks corrupt data would be forwarded: encoding/json replaces invalid UTF-8 without an error, the
+	// decoder ignores data after the object, and a truncated "running" message may lack its session description.
+	if !utf8.Valid(b[:end]) || dec.Decode(&in) != nil || in.Kind == "" || dec.More() || in.Kind == Running && in.Body == nil {
 		return nil, n, ErrMalformed
 	}
-	line = &Message{Kind: w.Kind, UID: w.UID, Meta: make(map[string]string, len(w.Meta))}
-	for k, v := range w.Meta {
+	m = &Message{Kind: in.Kind, UID: in.UID, Meta: make(map[string]string, len(in.Meta))}
+	for k, v := range in.Meta {
 		switch v := v.(type) {
 		case string:
-			line.Meta[k] = v
+			m.Meta[k] = v
 		case json.Number:
-			line.Meta[k] = v.String()
+			m.Meta[k] = v.String()
 		default:
-			return nil, n, ErrMalformed // fields are strings or numbers
+			return nil, n, ErrMalformed // values must be strings or numbers
 		}
 	}
-	if w.Cause != nil {
-		if line.Cause, err = strconv.Atoi(w.Cause.String()); err != nil {
+	if in.Cause != nil {
+		if m.Cause, err = strconv.Atoi(in.Cause.String()); err != nil {
 			return nil, n, ErrMalformed
 		}
 	}
-	if w.Body != nil {
-		line.Body = *w.Body
+	if in.Body != nil {
+		m.Body = *in.Body
 	}
-	return line, n, nil
+	return m, n, nil
 }
 
-// Append writes the line behind dst.
-func (l *Message) Append(dst []byte) []byte {
-	w := wire{Kind: l.Kind, UID: l.UID, Meta: make(map[string]any, len(l.Meta))}
-	for k, v := range l.Meta {
-		w.Meta[k] = v
+// Append appends the message to dst as one line of JSON.
+func (m *Message) Append(dst []byte) []byte {
+	out := encoded{Kind: m.Kind, UID: m.UID, Meta: make(map[string]any, len(m.Meta))}
+	for k, v := range m.Meta {
+		out.Meta[k] = v
 	}
-	switch l.Kind {
+	switch m.Kind {
 	case Stop, Check, Checked:
-		n := json.Number(strconv.Itoa(l.Cause))
-		w.Cause = &n
+		n := json.Number(strconv.Itoa(m.Cause))
+		out.Cause = &n
 	case Launch, Running:
-		w.Body = &l.Body
+		out.Body = &m.Body
 	}
-	var out bytes.Buffer
-	enc := json.NewEncoder(&out)
-	enc.SetEscapeHTML(false) // a description goes on unchanged, and readable
-	if err := enc.Encode(w); err != nil {
+	var buf bytes.Buffer
+	enc := json.NewEncoder(&buf)
+	enc.SetEscapeHTML(false) // keep <, > and & in a session description unescaped and readable
+	if err := enc.Encode(out); err != nil {
 		panic(fmt.Sprintf("farend: %v", err)) // strings and numbers always encode
 	}
-	return append(dst, out.Bytes()...)
+	return append(dst, buf.Bytes()...)
 }
 
-// OutcomeCode is how an attempt ended that a stop ends: before the answer, or after it.
-func (l *Message) OutcomeCode(stood bool) tinbeam.Code {
-	if stood {
-		if l.Cause == CauseReset {
+// OutcomeCode returns the decision module's outcome code for an attempt that this Stop message ends; established tells whether
+// the call had been established before.
+func (m *Message) OutcomeCode(established bool) tinbeam.Code {
+	if established {
+		if m.Cause == CauseReset {
 			return tinbeam.Reset
 		}
 		return tinbeam.OK
 	}
-	switch l.Cause {
+	switch m.Cause {
 	case CauseFull:
 		return tinbeam.Full
 	case CauseTimerExpiry:
@@ -150,9 +152,10 @@
 	return tinbeam.Failed
 }
 
-// Note is the note of a stop in the module's figures: see tinbeam.NoteNoCircuit and what follows it.
-func (l *Message) Note() uint32 {
-	switch l.Meta["note"] {
+// Note returns the note of a Stop message in the decision module's encoding: see tinbeam.NoteNoCircuit and the constants after
+// it. With NoteProcessor, the bits above the lowest four hold the time in milliseconds that the call waited.
+func (m *Message) Note() uint32 {
+	switch m.Meta["note"] {
 	case "blocked":
 		return tinbeam.NoteNoCircuit
 	case "bounced":
@@ -162,20 +165,20 @@
 	case "occupied":
 		return tinbeam.NoteBusy
 	case "swamped":
-		ms, _ := strconv.ParseFloat(l.Meta["waited"], 64)
+		ms, _ := strconv.ParseFloat(m.Meta["waited"], 64)
 		return tinbeam.NoteProcessor + 16*uint32(min(max(ms, 0), 1e6))
 	}
 	return 0
 }
 
-// The names that far ends use for what the settings name otherwise.
-var alias = map[string]string{"idle": "x0", "circuits": "x1", "load_share": "util", "depth": "queue",
+// aliases maps the names of report fields in the settings to the alternative names that far ends use.
+var aliases = map[string]string{"idle": "x0", "circuits": "x1", "load_share": "util", "depth": "queue",
 	"concurrent": "inflight", "mean_ms": "latency_ms", "max_rate": "qps", "reduce": "eps"}
 
-// Report is the load report of the line with the values in the order of fields; nil: none. A value that is
-// absent is -1, as in the reports of the state of a group.
-func (l *Message) Report(fields []string) []float32 {
-	load, ok := l.Meta["load"]
+// Report returns the values of the message's load report in the order of fields, or nil if there is no report. An absent value
+// is -1, as in the reports of a circuit group's state.
+func (m *Message) Report(fields []string) []float32 {
+	load, ok := m.Meta["load"]
 	if !ok {
 		return nil
 	}
@@ -191,7 +194,7 @@
 		out[i] = -1
 		if v, ok := values[f]; ok {
 			out[i] = v
-		} else if v, ok := values[alias[f]]; ok {
+		} else if v, ok := values[aliases[f]]; ok {
 			out[i] = v
 		}
 	}
--- a/internal/farend/farend_test.go
+++ b/internal/farend/farend_test.go
@@ -10,30 +10,31 @@
 	"tinbeam"
 )
 
-func TestLines(t *testing.T) {
-	b := []byte("\n" + `{"kind":"stop","uid":"9b","meta":{"note":"swamped","waited":1200.5,"load":"x0:12;util:0.5"},"reason":34}` +
+func TestParseAndAppend(t *testing.T) {
+	b := []byte("\n" +
+		`{"kind":"stop","uid":"9b","meta":{"note":"swamped","waited":1200.5,"load":"x0:12;util:0.5"},"reason":34}` +
 		"\n{\"kind\"")
 	if m, n, err := Parse(b); m != nil || n != 1 || err != nil {
 		t.Fatalf("blank line: %v %d %v", m, n, err)
 	}
 	m, n, err := Parse(b[1:])
 	if err != nil || string(b[1+n:]) != `{"kind"` {
-		t.Fatalf("%v, left %q", err, b[1+n:])
+		t.Fatalf("error %v, remaining bytes %q", err, b[1+n:])
 	}
 	if m.OutcomeCode(false) != tinbeam.Full || m.Note() != tinbeam.NoteProcessor+16*1200 {
-		t.Errorf("ending %v note %d", m.OutcomeCode(false), m.Note())
+		t.Errorf("outcome code %v, note %d", m.OutcomeCode(false), m.Note())
 	}
 	if r := m.Report([]string{"idle", "circuits", "load_share", "depth"}); !reflect.DeepEqual(r, []float32{12, -1, 0.5, -1}) {
 		t.Errorf("report %v", r)
 	}
-	l := Message{Kind: Launch, UID: "9b", Meta: map[string]string{"class": "a<b", "left": "15"}, Body: "v=0\r\n"}
+	launch := Message{Kind: Launch, UID: "9b", Meta: map[string]string{"class": "a<b", "left": "15"}, Body: "v=0\r\n"}
 	want := `{"kind":"launch","uid":"9b","meta":{"class":"a<b","left":"15"},"body":"v=0\r\n"}` + "\n"
-	if got := string(l.Append(nil)); got != want {
-		t.Errorf("wrote %q", got)
+	if got := string(launch.Append(nil)); got != want {
+		t.Errorf("serialized as %q", got)
 	}
 }
 
-func TestEndings(t *testing.T) {
+func TestOutcomeCodes(t *testing.T) {
 	for _, c := range []struct {
 		cause         int
 		before, after tinbeam.Code
@@ -42,9 +43,10 @@
 		{CauseFault, tinbeam.Failed, tinbeam.OK}, {CauseTimerExpiry, tinbeam.NotAttempted, tinbeam.OK},
 		{CauseReset, tinbeam.Reset, tinbeam.Reset}, {CauseNormal, tinbeam.Failed, tinbeam.OK},
 	} {
-		l := Message{Kind: Stop, Cause: c.cause}
-		if l.OutcomeCode(false) != c.before || l.OutcomeCode(true) != c.after {
-			t.Errorf("cause %d: %v and %v", c.cause, l.OutcomeCode(false), l.OutcomeCode(true))
+		m := Message{Kind: Stop, Cause: c.cause}
+		if m.OutcomeCode(false) != c.before || m.OutcomeCode(true) != c.after {
+			t.Errorf("cause %d: outcome code %v before establishment, %v after", c.cause,
+				m.OutcomeCode(false), m.OutcomeCode(true))
 		}
 	}
 	for note, want := range map[string]uint32{"blocked": 1, "bounced": 2, "far_swamped": 18, "occupied": 4, "": 0} {
@@ -73,22 +75,22 @@
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
 		m, n, err := Parse(b)
 		if n < 0 || n > len(b) {
-			t.Fatalf("took %d of %d", n, len(b))
+			t.Fatalf("consumed %d of %d bytes", n, len(b))
 		}
 		if m == nil || err != nil {
 			return
 		}
 		for _, v := range m.Report([]string{"idle", "depth"}) {
-			_ = math.IsNaN(float64(v)) // the module judges readings; any may come
+			_ = math.IsNaN(float64(v)) // any value may occur, NaN too: the decision module checks the values
 		}
 		m.Note()
 		if early, _, err := Parse(b[:min(max(cut, 0), n-1)]); early != nil || err != nil {
-			t.Fatalf("cut: %v %v", early, err)
+			t.Fatalf("cut line: parsed %v, error %v", early, err)
 		}
-		w := m.Append(nil)
-		if len(w) < MaxLine {
-			if again, k, err := Parse(w); err != nil || k != len(w) || again.UID != m.UID {
-				t.Fatalf("%q written and read again: %v", w, err)
+		out := m.Append(nil)
+		if len(out) < MaxLine {
+			if again, k, err := Parse(out); err != nil || k != len(out) || again.UID != m.UID {
+				t.Fatalf("%q parsed again: %v", out, err)
 			}
 		}
 	})
