--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -1,5 +1,5 @@
-// Package changelog reads the change log of the list of far ends: its frames, and the same events as they
-// stand in the configuration. It is pure: bytes in, events out.
+// Package changelog parses the change log of the far-end list: the frames of its stream, and the same events in the form that
+// the configuration file has them. It does no I/O: it converts bytes to events.
 package changelog
 
 import (
@@ -15,7 +15,7 @@
 	"tinbeam"
 )
 
-// What a frame can be.
+// The kinds of frame: without entries, with the whole far-end list, and with the entries that changed.
 const (
 	KeepAlive = 0
 	FullList  = 1
@@ -23,48 +23,49 @@
 )
 
 const (
-	recordSize = 27
-	frameHead  = 9       // number and kind, which the length counts
-	maxFrame   = 1 << 20 // some 38,000 far ends; a longer claim is no frame
+	entrySize    = 27
+	headerSize   = 9       // event number and kind; the frame's length includes them
+	maxFrameSize = 1 << 20 // about 38,000 far ends; a frame with a larger length is malformed
 )
 
-// ErrMalformed is a stream that cannot be followed: it has to be opened anew.
+// ErrMalformed reports a malformed frame. The rest of the stream is unusable: the client has to reconnect.
 var ErrMalformed = errors.New("changelog: malformed frame")
 
-// Event is one numbered event.
+// Event is one numbered event of the change log.
 type Event struct {
 	Seq     uint64
 	Kind    int
 	Entries []Entry
 }
 
-// Entry is one far end in an event.
+// Entry is the state of one far end in an event.
 type Entry struct {
 	tinbeam.Entry
 	Addr string // host:port
 }
 
-// ResumeRequest is what is written first: the number of the last event held.
+// ResumeRequest returns the message that the client sends first: the number of the last event that it has.
 func ResumeRequest(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
 
-// Parse reads the first frame of b and tells how many bytes it took; with none whole yet it returns nil, 0.
+// Parse parses the first frame in b and returns its event with the number of bytes consumed. If b holds no complete frame yet,
+// it returns nil and 0.
 func Parse(b []byte) (*Event, int, error) {
 	if len(b) < 4 {
 		return nil, 0, nil
 	}
 	size := int(binary.BigEndian.Uint32(b))
-	if size < frameHead || size > maxFrame {
+	if size < headerSize || size > maxFrameSize {
 		return nil, 0, ErrMalformed
 	}
 	if len(b) < 4+size {
 		return nil, 0, nil
 	}
 	e := &Event{Seq: binary.BigEndian.Uint64(b[4:]), Kind: int(b[12])}
-	p := b[4+frameHead : 4+size]
-	if e.Kind > Delta || len(p)%recordSize != 0 || e.Kind == KeepAlive && len(p) > 0 {
+	p := b[4+headerSize : 4+size]
+	if e.Kind > Delta || len(p)%entrySize != 0 || e.Kind == KeepAlive && len(p) > 0 {
 		return nil, 0, ErrMalformed
 	}
-	for ; len(p) > 0; p = p[recordSize:] {
+	for ; len(p) > 0; p = p[entrySize:] {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte(p[4:8])), binary.BigEndian.Uint16(p[8:]))
 		if p[10] > 2 {
 			return nil, 0, ErrMalformed
@@ -73,19 +74,20 @@
 			Switch: binary.BigEndian.Uint32(p), Zone: int(p[11]), ExchangeNumber: int(binary.BigEndian.Uint16(p[13:])),
 			Mode:        [3]tinbeam.Mode{tinbeam.Ready, tinbeam.Draining, tinbeam.Gone}[p[10]],
 			Weight:      float64(binary.BigEndian.Uint32(p[15:])) / 1000,
-			OnlineSince: clock(int64(binary.BigEndian.Uint64(p[19:]))),
+			OnlineSince: moduleTime(int64(binary.BigEndian.Uint64(p[19:]))),
 		}})
 	}
 	return e, 4 + size, nil
 }
 
-// clock is a Unix millisecond as the module's clock, which counts from the same moment.
-func clock(ms int64) time.Duration {
-	const most = int64(1) << 42 // some 139 years, inside a time.Duration
-	return time.Duration(min(max(ms, 0), most)) * time.Millisecond
+// moduleTime converts Unix milliseconds to the decision module's clock, which counts from the same epoch.
+func moduleTime(ms int64) time.Duration {
+	const maxMS = int64(1) << 42 // about 139 years, within the range of time.Duration
+	return time.Duration(min(max(ms, 0), maxMS)) * time.Millisecond
 }
 
-// ParseKnown reads the events of the configuration; zones are the names in the settings.
+// ParseKnown parses the events in the configuration's "known" object and the number of the last one. zones holds the names of
+// the zones from the settings; a zone's index is its number.
 func ParseKnown(raw []byte, zones []string) (seq uint64, events []Event, err error) {
 	var k struct {
 		Seq     uint64 `json:"seq"`
@@ -122,12 +124,12 @@
 				return 0, nil, fmt.Errorf("known: event %d: %w", r.Seq, err)
 			}
 			if _, err := netip.ParseAddrPort(n.Addr); err != nil {
-				return 0, nil, fmt.Errorf("known: event %d: %s: address %q", r.Seq, n.ID, n.Addr)
+				return 0, nil, fmt.Errorf("known: event %d: %s: %q is not a valid address and port", r.Seq, n.ID, n.Addr)
 			}
 			mode, ok := map[string]tinbeam.Mode{"active": tinbeam.Ready, "leaving": tinbeam.Draining,
 				"left": tinbeam.Gone}[n.Lifecycle]
 			if !ok {
-				return 0, nil, fmt.Errorf("known: event %d: %s: state %q", r.Seq, n.ID, n.Lifecycle)
+				return 0, nil, fmt.Errorf("known: event %d: %s: unknown lifecycle %q", r.Seq, n.ID, n.Lifecycle)
 			}
 			zone := 0
 			for z, name := range zones {
@@ -136,22 +138,22 @@
 				}
 			}
 			e.Entries = append(e.Entries, Entry{Addr: n.Addr, Entry: tinbeam.Entry{Switch: id, Zone: zone,
-				ExchangeNumber: n.Cell, Mode: mode, Weight: n.Weight, OnlineSince: clock(n.Started)}})
+				ExchangeNumber: n.Cell, Mode: mode, Weight: n.Weight, OnlineSince: moduleTime(n.Started)}})
 		}
 		events = append(events, e)
 	}
 	return k.Seq, events, nil
 }
 
-// ParseID reads the written form of a far end's id.
+// ParseID parses the text form of a far end's id.
 func ParseID(s string) (uint32, error) {
 	hex, ok := strings.CutPrefix(s, "s-")
 	n, err := strconv.ParseUint(hex, 16, 32)
 	if !ok || err != nil || len(hex) != 8 {
-		return 0, fmt.Errorf("id %q is not s- and 8 hex digits", s)
+		return 0, fmt.Errorf("id %q is not \"s-\" followed by 8 hex digits", s)
 	}
 	return uint32(n), nil
 }
 
-// FormatID writes a far end's id.
+// FormatID returns the text form of a far end's id.
 func FormatID(id uint32) string { return fmt.Sprintf("s-%08x", id) }
--- a/internal/changelog/changelog_test.go
+++ b/internal/changelog/changelog_test.go
@@ -10,7 +10,7 @@
 	"tinbeam"
 )
 
-// A frame with one change: s-00c41f7a drains at 10.1.0.9:2905.
+// A frame with one entry: s-00c41f7a at 10.1.0.9:2905 is draining.
 const frame = "00000024 000000000000002a 02" + "00c41f7a 0a010009 0b59 01 02 00 0002 00000fa0 0000018bcfe56800"
 
 func unhex(t *testing.T, s string) []byte {
@@ -35,17 +35,17 @@
 	}
 	for cut := range n {
 		if e, k, err := Parse(b[:cut]); e != nil || k != 0 || err != nil {
-			t.Fatalf("cut at %d: %v %d %v", cut, e, k, err)
+			t.Fatalf("cut at %d: event %v, %d bytes consumed, error %v", cut, e, k, err)
 		}
 	}
 	for _, bad := range []string{"00000008 0000000000000001 00", "7fffffff", "0000000a 0000000000000001 02 00",
 		"00000009 0000000000000001 03", strings.Replace(frame, "0b59 01", "0b59 07", 1)} {
 		if _, _, err := Parse(unhex(t, bad)); err == nil {
-			t.Errorf("%s was read", bad)
+			t.Errorf("malformed frame %s was accepted", bad)
 		}
 	}
 	if got := ResumeRequest(41); hex.EncodeToString(got) != "0000000000000029" {
-		t.Errorf("resume %x", got)
+		t.Errorf("resume request %x", got)
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 	for _, bad := range [][2]string{{"s-00c41f7a", "00c41f7a"}, {"leaving", "asleep"}, {"10.1.0.9:2905", "here"}} {
 		if _, _, err := ParseKnown([]byte(strings.Replace(text, bad[0], bad[1], 1)), nil); err == nil {
-			t.Errorf("%s was read", bad[1])
+			t.Errorf("invalid value %s was accepted", bad[1])
 		}
 	}
 }
