--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,28 +10,28 @@
 	"tinbeam"
 )
 
-// maxItems bounds the length of a list that a settings text claims.
-const maxItems = 4096
+// maxClasses is the largest number of call classes that the settings may announce.
+const maxClasses = 4096
 
-// ParseSettings reads the path=value lines of a hello. Unknown keys are disregarded and absent ones left
-// zero; a value that is no number is treated as absent. Only the own number, and in a network the number
-// of the own exchange, have no safe meaning when absent and are refused by name.
-func ParseSettings(info string) (tinbeam.Settings, error) {
+// ParseSettings parses the path=value lines of a Hello. It ignores unknown keys, leaves absent ones zero and treats an invalid
+// number as absent. Two settings have no safe default: the replica index and, in a network of exchanges, the number of the
+// local exchange. If one of them is missing or invalid, the error names it.
+func ParseSettings(text string) (tinbeam.Settings, error) {
 	kv := values{}
-	for _, line := range strings.Split(info, "\n") {
+	for _, line := range strings.Split(text, "\n") {
 		if k, v, ok := strings.Cut(strings.TrimRight(line, "\r"), "="); ok {
 			kv[k] = v
 		}
 	}
 	var s tinbeam.Settings
 	var err error
-	if s.ReplicaIndex, err = kv.must("index"); err != nil {
+	if s.ReplicaIndex, err = kv.required("index"); err != nil {
 		return s, err
 	}
 	s.SharedPools = kv["familyInfo.shape"] == "skills"
 	s.LocalExchange = -1
 	if !s.SharedPools {
-		if s.LocalExchange, err = kv.must("familyInfo.homeNo"); err != nil {
+		if s.LocalExchange, err = kv.required("familyInfo.homeNo"); err != nil {
 			return s, err
 		}
 	}
@@ -39,8 +39,8 @@
 	s.Zone = kv.int("zone")
 	s.ReportFields = kv.list("report.fields")
 	s.ReportHow = kv["report.how"]
-	if far := kv["familyInfo.peerLoad"]; far != "" {
-		s.ReportHow = far
+	if peerLoad := kv["familyInfo.peerLoad"]; peerLoad != "" {
+		s.ReportHow = peerLoad
 	}
 	s.Discovery = kv["discovery"]
 	s.TandemAdvice = kv["familyInfo.advice"] == "true"
@@ -77,20 +77,23 @@
 	return s, nil
 }
 
+// values maps the path of a setting to its text.
 type values map[string]string
 
-func (kv values) must(key string) (int, error) {
+// required returns a whole number that must be present.
+func (kv values) required(key string) (int, error) {
 	v, ok := kv[key]
 	if !ok {
 		return 0, fmt.Errorf("settings: %s is missing", key)
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		return 0, fmt.Errorf("settings: %s is %q, not a whole number", key, v)
+		return 0, fmt.Errorf("settings: %s is %q, want a whole number", key, v)
 	}
 	return n, nil
 }
 
+// float returns a number, or 0 if it is absent or not a finite number.
 func (kv values) float(key string) float64 {
 	f, err := strconv.ParseFloat(kv[key], 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
@@ -99,6 +102,7 @@
 	return f
 }
 
+// int returns a number truncated to an integer, or 0 if it is absent or out of range.
 func (kv values) int(key string) int {
 	f := kv.float(key)
 	if math.Abs(f) > 1<<31 {
@@ -107,14 +111,16 @@
 	return int(f)
 }
 
+// seconds returns a time in seconds, or 0 if it is absent or out of range.
 func (kv values) seconds(key string) time.Duration {
 	f := kv.float(key)
-	if math.Abs(f) > maxClock {
+	if math.Abs(f) > maxSeconds {
 		return 0
 	}
 	return Seconds(f)
 }
 
+// list returns the items of a comma-separated list.
 func (kv values) list(key string) []string {
 	if v := kv[key]; v != "" {
 		return strings.Split(v, ",")
@@ -122,13 +128,14 @@
 	return nil
 }
 
+// classes returns the classes of call.
 func (kv values) classes() []tinbeam.Class {
 	n := kv.int("classes.count")
-	if n < 0 || n > maxItems {
+	if n < 0 || n > maxClasses {
 		n = 0
 	}
 	widths, holds := kv.list("familyInfo.widths"), kv.list("familyInfo.meanHold")
-	at := func(l []string, i int) float64 {
+	valueAt := func(l []string, i int) float64 {
 		if i >= len(l) {
 			return 0
 		}
@@ -136,12 +143,12 @@
 	}
 	out := make([]tinbeam.Class, n)
 	for i := range out {
-		p := fmt.Sprintf("classes.%d.", i)
+		prefix := fmt.Sprintf("classes.%d.", i)
 		out[i] = tinbeam.Class{
-			Name: kv[p+"name"], AnswerTarget: kv.seconds(p + "aim"), HardLimit: kv.seconds(p + "hardLimit"),
-			Value: kv.float(p + "gain"), LateValueShare: kv.float(p + "lateValue"),
-			Width: at(widths, i), MeanHold: Seconds(at(holds, i)),
-			RepeatPolicy: kv[p+"idempotency"], RepeatScope: kv[p+"group"], RepeatWindow: kv.seconds(p + "window"),
+			Name: kv[prefix+"name"], AnswerTarget: kv.seconds(prefix + "aim"), HardLimit: kv.seconds(prefix + "hardLimit"),
+			Value: kv.float(prefix + "gain"), LateValueShare: kv.float(prefix + "lateValue"),
+			Width: valueAt(widths, i), MeanHold: Seconds(valueAt(holds, i)),
+			RepeatPolicy: kv[prefix+"idempotency"], RepeatScope: kv[prefix+"group"], RepeatWindow: kv.seconds(prefix + "window"),
 		}
 	}
 	return out
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,30 +23,30 @@
 	return b
 }
 
-// frame puts records under a header with the true length.
+// frame returns a frame of records with a correct header.
 func frame(clock float64, count uint32, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	b := binary.LittleEndian.AppendUint32(nil, uint32(batchHeader+len(body)))
+	b := binary.LittleEndian.AppendUint32(nil, uint32(batchHeaderSize+len(body)))
 	b = binary.LittleEndian.AppendUint64(b, math.Float64bits(clock))
 	b = binary.LittleEndian.AppendUint32(b, count)
 	return append(b, body...)
 }
 
 const (
-	accept    = "0a01 03000000 c4913a5d 0000 640ad2557c3bf091 00009644 0000 b81e85eb51b8ce3f 00006442 01 fa7e6abc7493883f 00008043"
-	outcome   = "0401 03000000 c4913a5d 01 00000000 00 8b6ce7fba9f1923f 074a1203 c800 00"
-	directory = `0101 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000
+	offer   = "0a01 03000000 c4913a5d 0000 640ad2557c3bf091 00009644 0000 b81e85eb51b8ce3f 00006442 01 fa7e6abc7493883f 00008043"
+	outcome = "0401 03000000 c4913a5d 01 00000000 00 8b6ce7fba9f1923f 074a1203 c800 00"
+	list    = `0101 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000
 		f211902c 01 00 0000 01 0000c03f 6666666666661840`
 	topology = "0801 03000000 2900000000000000 00000000 02"
 	sampled  = "0001 03000000 f211902c c800 c7bab88d06f0563f 04 cdcccc3e0000a03f0000684100000c43"
-	tick     = "0901 03000000 4d00000000000000"
+	tickDue  = "0901 03000000 4d00000000000000"
 )
 
-// The examples of the protocol page, field by field.
+// TestDecodeExamples checks the examples of the protocol's documentation field by field.
 func TestDecodeExamples(t *testing.T) {
 	var d Decoder
-	b, err := d.Decode(frame(12.5, 6, unhex(t, directory), unhex(t, topology), unhex(t, accept),
-		unhex(t, outcome), unhex(t, sampled), unhex(t, tick)))
+	b, err := d.Decode(frame(12.5, 6, unhex(t, list), unhex(t, topology), unhex(t, offer),
+		unhex(t, outcome), unhex(t, sampled), unhex(t, tickDue)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,7 +71,7 @@
 		t.Errorf("sampled %+v", s)
 	}
 	if b.Records[4].Event.(tinbeam.TickDue).Handle != 77 {
-		t.Error("timer")
+		t.Error("wrong handle in the TickDue event")
 	}
 }
 
@@ -104,29 +104,29 @@
 		copy(b[at:], v)
 		return b
 	}
-	acc := unhex(t, accept)
-	good := frame(1, 1, acc)
+	offerRecord := unhex(t, offer)
+	good := frame(1, 1, offerRecord)
 	for _, c := range []struct {
 		name           string
 		frame          []byte
 		record, offset int
 	}{
-		{"length beyond the frame", set(good, 0, 255), -1, 0},
+		{"length field exceeds the frame", set(good, 0, 255), -1, 0},
 		{"clock not finite", set(good, 4, 0, 0, 0, 0, 0, 0, 0xf0, 0x7f), -1, 4},
-		{"clock beyond all time", set(good, 4, 0, 0, 0, 0, 0, 0, 0xe0, 0x7f), -1, 4},
-		{"count beyond the frame", set(good, 12, 255, 255, 255, 255), -1, 12},
+		{"clock out of range", set(good, 4, 0, 0, 0, 0, 0, 0, 0xe0, 0x7f), -1, 4},
+		{"record count exceeds the frame", set(good, 12, 255, 255, 255, 255), -1, 12},
 		{"one record too many", set(good, 12, 2), 1, len(good)},
-		{"bytes left over", set(good, 12, 0), -1, 16},
-		{"unknown code", frame(1, 1, set(acc, 0, 0, 9)), 0, 16},
-		{"cut short", frame(1, 1, acc[:20]), 0, 36},
-		{"ttl not a number", frame(1, 1, set(acc, 26, 1, 0, 0, 0, 0, 0, 0xf8, 0x7f)), 0, 42},
-		{"destination not a number", frame(1, 1, set(acc, 34, 0, 0, 0xc0, 0x7f)), 0, 50},
-		{"list never given", frame(1, 1, set(unhex(t, topology), 14, 5)), 0, 30},
-		{"list number too high", frame(1, 1, set(unhex(t, directory), 2, 16)), 0, 18},
-		{"entries beyond the frame", frame(1, 1, set(unhex(t, directory), 6, 255, 255, 255, 255)), 0, 22},
-		{"unknown mode", frame(1, 1, set(unhex(t, directory), 18, 7)), 0, 34},
-		{"report beyond the frame", frame(1, 1, set(unhex(t, sampled), 20, 5)), 0, 37},
-		{"settings beyond the frame", frame(1, 1, unhex(t, "0301 03000000 0000000000000000 ffffffff")), 0, 30},
+		{"extra bytes after the last record", set(good, 12, 0), -1, 16},
+		{"unknown record code", frame(1, 1, set(offerRecord, 0, 0, 9)), 0, 16},
+		{"truncated record", frame(1, 1, offerRecord[:20]), 0, 36},
+		{"time left not a number", frame(1, 1, set(offerRecord, 26, 1, 0, 0, 0, 0, 0, 0xf8, 0x7f)), 0, 42},
+		{"destination not a number", frame(1, 1, set(offerRecord, 34, 0, 0, 0xc0, 0x7f)), 0, 50},
+		{"list has not been sent", frame(1, 1, set(unhex(t, topology), 14, 5)), 0, 30},
+		{"list number too high", frame(1, 1, set(unhex(t, list), 2, 16)), 0, 18},
+		{"list entries exceed the frame", frame(1, 1, set(unhex(t, list), 6, 255, 255, 255, 255)), 0, 22},
+		{"unknown mode", frame(1, 1, set(unhex(t, list), 18, 7)), 0, 34},
+		{"report exceeds the frame", frame(1, 1, set(unhex(t, sampled), 20, 5)), 0, 37},
+		{"settings exceed the frame", frame(1, 1, unhex(t, "0301 03000000 0000000000000000 ffffffff")), 0, 30},
 	} {
 		var d Decoder
 		_, err := d.Decode(c.frame)
@@ -134,19 +134,19 @@
 		if !errors.As(err, &e) {
 			t.Errorf("%s: error %v", c.name, err)
 		} else if e.Record != c.record || e.Offset != c.offset {
-			t.Errorf("%s: record %d byte %d, want %d %d (%v)", c.name, e.Record, e.Offset, c.record, c.offset, err)
+			t.Errorf("%s: record %d, byte %d, want %d, %d (%v)", c.name, e.Record, e.Offset, c.record, c.offset, err)
 		}
 	}
 }
 
 func TestReadFrame(t *testing.T) {
-	good := frame(1, 1, unhex(t, accept))
+	good := frame(1, 1, unhex(t, offer))
 	r := bytes.NewReader(good)
 	if f, err := ReadFrame(r); err != nil || !bytes.Equal(f, good) {
 		t.Fatal(err)
 	}
 	if _, err := ReadFrame(r); err != io.EOF {
-		t.Errorf("clean end: %v", err)
+		t.Errorf("end of input between frames: %v", err)
 	}
 	for n := 1; n < len(good); n++ {
 		if _, err := ReadFrame(bytes.NewReader(good[:n])); err == nil || err == io.EOF {
@@ -154,7 +154,7 @@
 		}
 	}
 	if _, err := ReadFrame(bytes.NewReader([]byte{3, 0, 0, 0})); err == nil {
-		t.Error("a length below the header passes")
+		t.Error("a length below the header size was accepted")
 	}
 }
 
@@ -172,7 +172,7 @@
 	for text, name := range map[string]string{"familyInfo.homeNo=1": "index", "index=1": "familyInfo.homeNo",
 		"index=x\nfamilyInfo.homeNo=1": "index"} {
 		if _, err := ParseSettings(text); err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%q: %v, want it to name %s", text, err, name)
+			t.Errorf("%q: error %v, want one that names %s", text, err, name)
 		}
 	}
 	if _, err := ParseSettings("index=1\nfamilyInfo.shape=skills\nclasses.count=1e18"); err != nil {
@@ -181,7 +181,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, r := range []string{accept, outcome, directory + topology, sampled, tick} {
+	for _, r := range []string{offer, outcome, list + topology, sampled, tickDue} {
 		f.Add(frame(1, 1, unhex(f, r)))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
