--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what a call agent is told when it starts: the platform's configuration, and the operator's
-// file for what the platform does not know of.
+// Package config loads the two configuration files of a call agent: the platform's configuration, and the operator's file for
+// functions that the platform's configuration does not cover.
 package config
 
 import (
@@ -20,22 +20,23 @@
 	"tinbeam/internal/wire"
 )
 
-// Config is the platform's configuration, checked.
+// Config is the platform's configuration after validation.
 type Config struct {
 	Name, Listen, Changelog string
-	Management              string // where operators call; "": nowhere
-	InheritedFD             int    // the descriptor of the callers' socket, where the platform holds it; 0: it is opened here
+	Management              string // address of the operators' HTTP interface; "": none
+	InheritedFD             int    // descriptor of the callers' listening socket if the platform passes it; 0: open the socket
 	Seed                    uint64
-	MemoryMB, Sockets       int
+	MemoryMB, Sockets       int // limits on the memory and on open sockets; 0: not set
 	Settings                tinbeam.Settings
-	Zones                   []string
+	Zones                   []string // the zones' names, in the order of their numbers
 	ConnectTimeout          time.Duration
-	KnownSeq                uint64
-	KnownEvents             []changelog.Event
+	KnownSeq                uint64            // number of the last change-log event that the configuration contains
+	KnownEvents             []changelog.Event // the change-log events that the configuration contains
 
-	doc map[string]any // the file
+	document map[string]any // the whole file, to compare its keys on a reload
 }
 
+// file is the JSON form of the configuration.
 type file struct {
 	Name       string `json:"name"`
 	Listen     string `json:"listen"`
@@ -50,7 +51,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration of a path. The environment's name and address, where set, stand over the file's.
+// Load reads the configuration file at path. Environment variables, where set, override the file's name and addresses.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -63,49 +64,51 @@
 	return c, nil
 }
 
-// Reload reads the configuration of a path again, to stand in the place of present. It is taken whole or not at all: what
-// lacks a key that present has, or has a deadline or a number of attempts that is no number above 0, is turned down.
-func Reload(path string, present *Config) (*Config, error) {
+// Reload reads the configuration file at path to replace current. The file is accepted whole or refused: it is refused if a key
+// that current has is missing, or if a call class's hard limit or the maximum number of attempts is not a number above 0.
+func Reload(path string, current *Config) (*Config, error) {
 	c, err := Load(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := replaces(c, present); err != nil {
+	if err := checkReplacement(c, current); err != nil {
 		return nil, fmt.Errorf("configuration %s: %w", path, err)
 	}
 	return c, nil
 }
 
-func replaces(c, present *Config) error {
-	if path := lacks(present.doc, c.doc, ""); path != "" {
+// checkReplacement returns an error if c must not replace current.
+func checkReplacement(c, current *Config) error {
+	if path := missingKey(current.document, c.document, ""); path != "" {
 		return fmt.Errorf("%s is missing", path)
 	}
-	set, _ := c.doc["settings"].(map[string]any)
-	permissions, _ := set["permissions"].(map[string]any)
-	if !above0(permissions["mostTries"]) || c.Settings.MaxAttempts < 1 {
-		return fmt.Errorf("settings.permissions.mostTries is no number above 0")
+	settings, _ := c.document["settings"].(map[string]any)
+	permissions, _ := settings["permissions"].(map[string]any)
+	if !isPositive(permissions["mostTries"]) || c.Settings.MaxAttempts < 1 {
+		return fmt.Errorf("settings.permissions.mostTries is not a number above 0")
 	}
-	classes, _ := set["classes"].([]any)
+	classes, _ := settings["classes"].([]any)
 	names := map[string]bool{}
-	for i, k := range classes {
-		k, _ := k.(map[string]any)
-		if !above0(k["hardLimit"]) || c.Settings.Classes[i].HardLimit <= 0 {
-			return fmt.Errorf("settings.classes: the hardLimit of %q is no number above 0", c.Settings.Classes[i].Name)
+	for i, class := range classes {
+		class, _ := class.(map[string]any)
+		if !isPositive(class["hardLimit"]) || c.Settings.Classes[i].HardLimit <= 0 {
+			return fmt.Errorf("settings.classes: the hardLimit of %q is not a number above 0", c.Settings.Classes[i].Name)
 		}
 		if name := c.Settings.Classes[i].Name; name == "" || names[name] {
-			return fmt.Errorf("settings.classes: the name %q is empty or taken", name)
+			return fmt.Errorf("settings.classes: the name %q is empty or already used", name)
 		} else {
 			names[name] = true
 		}
 	}
-	if old, now := present.Settings, c.Settings; old.ReplicaIndex != now.ReplicaIndex ||
+	if old, now := current.Settings, c.Settings; old.ReplicaIndex != now.ReplicaIndex ||
 		old.LocalExchange != now.LocalExchange || old.SharedPools != now.SharedPools {
-		return fmt.Errorf("settings: the own number or the shape of the network is another")
+		return fmt.Errorf("settings: the replica index, the local exchange or the shape of the network has changed")
 	}
 	return nil
 }
 
-func above0(v any) bool {
+// isPositive reports whether v is a JSON number above 0.
+func isPositive(v any) bool {
 	n, ok := v.(json.Number)
 	if !ok {
 		return false
@@ -114,27 +117,28 @@
 	return err == nil && f > 0
 }
 
-// lacks names a key that old has and now has not; "": none. Of the items of a list each needs what all the old ones have.
-func lacks(old, now any, path string) string {
+// missingKey returns the path of a key that old has and now lacks, or "". Each item of a list must have the keys that all items
+// of the old list have.
+func missingKey(old, now any, path string) string {
 	switch old := old.(type) {
 	case map[string]any:
-		in, _ := now.(map[string]any)
+		object, _ := now.(map[string]any)
 		for _, k := range slices.Sorted(maps.Keys(old)) {
-			at := strings.TrimPrefix(path+"."+k, ".")
-			if _, ok := in[k]; !ok {
-				return at
+			keyPath := strings.TrimPrefix(path+"."+k, ".")
+			if _, ok := object[k]; !ok {
+				return keyPath
 			}
-			if p := lacks(old[k], in[k], at); p != "" {
+			if p := missingKey(old[k], object[k], keyPath); p != "" {
 				return p
 			}
 		}
 	case []any:
-		in, ok := now.([]any)
+		items, ok := now.([]any)
 		if !ok {
 			return path
 		}
-		for _, item := range in {
-			if p := lacks(common(old), item, path+"[]"); p != "" {
+		for _, item := range items {
+			if p := missingKey(commonKeys(old), item, path+"[]"); p != "" {
 				return p
 			}
 		}
@@ -142,36 +146,36 @@
 	return ""
 }
 
-// common is what all items of a list have; nil where they are no objects.
-func common(items []any) any {
-	var all map[string]any
+// commonKeys returns an object with the keys that all items of a list have, or nil if the list is empty or an item is not an object.
+func commonKeys(items []any) any {
+	var shared map[string]any
 	for i, item := range items {
 		m, ok := item.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if i == 0 {
-			all = maps.Clone(m)
+			shared = maps.Clone(m)
 		}
-		maps.DeleteFunc(all, func(k string, _ any) bool { _, ok := m[k]; return !ok })
+		maps.DeleteFunc(shared, func(k string, _ any) bool { _, ok := m[k]; return !ok })
 	}
-	if all == nil {
+	if shared == nil {
 		return nil
 	}
-	return all
+	return shared
 }
 
-// Parse reads a configuration.
+// Parse parses and validates a configuration, and applies the environment variables that override it.
 func Parse(raw []byte) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, err
 	}
-	doc, err := object(raw)
+	document, err := parseObject(raw)
 	if err != nil {
 		return nil, err
 	}
-	c := &Config{doc: doc, Name: f.Name, Listen: f.Listen, Changelog: f.Changelog, Management: f.Management,
+	c := &Config{document: document, Name: f.Name, Listen: f.Listen, Changelog: f.Changelog, Management: f.Management,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
 	if v := os.Getenv("BALANCER_NAME"); v != "" {
 		c.Name = v
@@ -180,28 +184,28 @@
 		c.Listen = v
 	}
 	if _, err := netip.ParseAddrPort(c.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %q is no address with a port", c.Listen)
+		return nil, fmt.Errorf("listen: %q is not a valid IP address and port", c.Listen)
 	}
 	if _, err := netip.ParseAddrPort(c.Changelog); err != nil && c.Changelog != "" {
-		return nil, fmt.Errorf("changelog: %q is no address with a port", c.Changelog)
+		return nil, fmt.Errorf("changelog: %q is not a valid IP address and port", c.Changelog)
 	}
 	if v := os.Getenv("BALANCER_MANAGEMENT"); v != "" {
 		c.Management = v
 	}
 	if _, err := netip.ParseAddrPort(c.Management); err != nil && c.Management != "" {
-		return nil, fmt.Errorf("management: %q is no address with a port", c.Management)
+		return nil, fmt.Errorf("management: %q is not a valid IP address and port", c.Management)
 	}
 	if v := os.Getenv("BALANCER_PASSED_SOCKET"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 3 {
-			return nil, fmt.Errorf("BALANCER_PASSED_SOCKET is %q, not the number of a descriptor", v)
+			return nil, fmt.Errorf("BALANCER_PASSED_SOCKET is %q, not a file descriptor number of at least 3", v)
 		}
 		c.InheritedFD = n
 	}
 	if n, err := strconv.ParseUint(f.Seed, 16, 64); err == nil {
 		c.Seed = n
 	} else {
-		h := fnv.New64a() // any text will do as a seed
+		h := fnv.New64a() // any other text is accepted as a seed, too
 		h.Write([]byte(f.Seed))
 		c.Seed = h.Sum64()
 	}
@@ -216,43 +220,45 @@
 		return nil, err
 	}
 	if len(c.Settings.Classes) == 0 {
-		return nil, fmt.Errorf("settings: no classes of call")
+		return nil, fmt.Errorf("settings: no classes of call are defined")
 	}
-	var own struct {
+	var extra struct {
 		Zones       []string `json:"azs"`
 		Permissions struct {
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"permissions"`
 	}
-	_ = json.Unmarshal(f.Settings, &own) // of another shape, they count as absent
-	c.Zones = own.Zones
-	c.ConnectTimeout = wire.Seconds(min(max(own.Permissions.ConnectTimeout, 0), 60))
-	if c.KnownSeq, c.KnownEvents, err = changelog.ParseKnown(f.Known, own.Zones); err != nil {
+	_ = json.Unmarshal(f.Settings, &extra) // values of the wrong type count as absent
+	c.Zones = extra.Zones
+	c.ConnectTimeout = wire.Seconds(min(max(extra.Permissions.ConnectTimeout, 0), 60))
+	if c.KnownSeq, c.KnownEvents, err = changelog.ParseKnown(f.Known, extra.Zones); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// object reads a JSON object, its numbers as they are written.
-func object(raw []byte) (v map[string]any, err error) {
+// parseObject parses a JSON object and keeps its numbers as text.
+func parseObject(raw []byte) (v map[string]any, err error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
 	err = dec.Decode(&v)
 	return v, err
 }
 
-// flatten writes nested JSON as the path=value lines of the simulator's hello, so that both are read by one parser.
+// flatten converts nested JSON to the path=value lines of the simulator's Hello, so that one parser serves both.
 func flatten(raw []byte) (string, error) {
-	v, err := object(raw)
+	v, err := parseObject(raw)
 	if err != nil {
 		return "", err
 	}
 	var out strings.Builder
-	walk(&out, "", v)
+	writeLines(&out, "", v)
 	return out.String(), nil
 }
 
-func walk(out *strings.Builder, path string, v any) {
+// writeLines writes a line for each value below path. A list of plain values becomes one comma-separated value; any other list
+// becomes a count and numbered paths.
+func writeLines(out *strings.Builder, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		keys := make([]string, 0, len(v))
@@ -261,16 +267,16 @@
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
-			walk(out, strings.TrimPrefix(path+"."+k, "."), v[k])
+			writeLines(out, strings.TrimPrefix(path+"."+k, "."), v[k])
 		}
 	case []any:
 		parts := make([]string, 0, len(v))
 		for _, e := range v {
-			s, plain := scalar(e)
-			if !plain {
+			s, ok := scalarText(e)
+			if !ok {
 				fmt.Fprintf(out, "%s.count=%d\n", path, len(v))
 				for i, e := range v {
-					walk(out, fmt.Sprintf("%s.%d", path, i), e)
+					writeLines(out, fmt.Sprintf("%s.%d", path, i), e)
 				}
 				return
 			}
@@ -278,13 +284,15 @@
 		}
 		fmt.Fprintf(out, "%s=%s\n", path, strings.Join(parts, ","))
 	default:
-		if s, ok := scalar(v); ok {
+		if s, ok := scalarText(v); ok {
 			fmt.Fprintf(out, "%s=%s\n", path, s)
 		}
 	}
 }
 
-func scalar(v any) (string, bool) {
+// scalarText returns the text of a value that is neither an object nor a list. Line feeds are replaced, since they would end the
+// line.
+func scalarText(v any) (string, bool) {
 	switch v := v.(type) {
 	case string:
 		return strings.ReplaceAll(v, "\n", "_"), true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,7 +18,7 @@
  "permissions":{"connectTimeout":0.5,"probes":true,"mostTries":4,"retryAfter":null},
  "report":{"fields":["idle","circuits"]},"realms":[]}`
 
-// One parser reads the settings of both worlds: as nested JSON, and as the simulator's lines.
+// TestSettings checks that the settings as nested JSON and as the simulator's path=value lines parse to the same result.
 func TestSettings(t *testing.T) {
 	c, err := Parse([]byte(`{"name":"n3","listen":"127.0.0.1:2905","seed":"8c1f30d27a5be964","limits":{"memory_mb":192},
 		"settings":` + settings + `}`))
@@ -31,20 +31,20 @@
 		"familyInfo.widths=3", "familyInfo.meanHold=9.9", "familyInfo.allowedPools.0=1,2", "permissions.probes=true",
 		"permissions.mostTries=4", "report.fields=idle,circuits"}, "\n"))
 	if err != nil || !reflect.DeepEqual(c.Settings, want) {
-		t.Errorf("read %+v\nwant %+v %v", c.Settings, want, err)
+		t.Errorf("got %+v\nwant %+v, error %v", c.Settings, want, err)
 	}
 	if c.Seed != 0x8c1f30d27a5be964 || c.ConnectTimeout != 500*time.Millisecond || c.MemoryMB != 192 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A configuration that cannot be meant is refused in one plain line.
-func TestBadConfigurations(t *testing.T) {
+// TestInvalidConfigurations checks that an invalid configuration is refused with a one-line error that names the faulty key.
+func TestInvalidConfigurations(t *testing.T) {
 	good := map[string]any{"listen": "127.0.0.1:0", "settings": json.RawMessage(settings)}
 	for _, c := range []struct {
 		key   string
 		value any
-		says  string
+		want  string // part of the error
 	}{
 		{"listen", "here", "listen"}, {"listen", nil, "listen"}, {"changelog", "there", "changelog"},
 		{"settings", nil, "settings"}, {"settings", map[string]any{"index": 1}, "homeNo"},
@@ -53,22 +53,22 @@
 			map[string]any{"instanceId": "x"}}}}}}, "id"},
 		{"limits", "none", "limits"},
 	} {
-		conf := map[string]any{}
+		configuration := map[string]any{}
 		for k, v := range good {
-			conf[k] = v
+			configuration[k] = v
 		}
-		conf[c.key] = c.value
-		raw, _ := json.Marshal(conf)
-		if _, err := Parse(raw); err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s = %v: %v", c.key, c.value, err)
+		configuration[c.key] = c.value
+		raw, _ := json.Marshal(configuration)
+		if _, err := Parse(raw); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s = %v: error %v", c.key, c.value, err)
 		}
 	}
 	if _, err := Load("no such file"); err == nil {
-		t.Error("a missing file was read")
+		t.Error("a missing file was accepted")
 	}
 }
 
-// The files that the README names hold together.
+// TestDeployFiles checks that the example files named in the README are valid and fit together.
 func TestDeployFiles(t *testing.T) {
 	c, err := Load("../../deploy/config.json")
 	if err != nil || len(c.Settings.Classes) != 3 || len(c.KnownEvents[0].Entries) != 2 {
@@ -101,10 +101,10 @@
 		`"birmingham"`: `"leeds"`} {
 		bad := strings.Replace(string(raw), from, to, 1)
 		if bad == string(raw) {
-			t.Fatalf("%s is not in the file", from)
+			t.Fatalf("the file does not contain %s", from)
 		}
 		if _, err := ParseOperator([]byte(bad), c.Settings, c.Zones); err == nil {
-			t.Errorf("%s for %s was taken", to, from)
+			t.Errorf("%s in place of %s was accepted", to, from)
 		}
 	}
 	if o, err := LoadOperator("", c); err != nil || o.MGCPListen != "" || o.RemoteWrite != nil || o.Plugin != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// A file that SIGHUP brings is taken whole or not at all.
+// TestReload checks that a configuration reloaded on SIGHUP is accepted whole or refused.
 func TestReload(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/config.json")
 	if err != nil {
@@ -123,14 +123,14 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		present, err := Parse(raw)
+		current, err := Parse(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return Reload(path, present)
+		return Reload(path, current)
 	}
 	good := string(raw)
-	for _, c := range []struct{ from, to, says string }{
+	for _, c := range []struct{ from, to, want string }{
 		{good, "", "JSON"}, {good, good[:len(good)/2], "JSON"}, {good, "{}", "listen"}, {good, "null", "listen"},
 		{`"changelog": "",`, "", "changelog is missing"}, {`"seed": "8c1f30d27a5be964",`, "", "seed"},
 		{`, "sockets": 1024`, "", "limits.sockets"}, {`"mostTries": 4, `, "", "permissions.mostTries"},
@@ -138,18 +138,19 @@
 		{`"mostTries": 4`, `"mostTries": "4"`, "mostTries"}, {`"mostTries": 4`, `"mostTries": null`, "mostTries"},
 		{`"hardLimit": 6.0`, `"hardLimit": 0`, "hardLimit"}, {`"hardLimit": 6.0`, `"hardLimit": "soon"`, "hardLimit"},
 		{`"hardLimit": 6.0`, `"hardLimit": [6]`, "hardLimit"}, {`"hardLimit": 6.0, `, "", "classes[].hardLimit"},
-		{`"name": "cancel-all", `, "", "classes[].name"}, {`"cancel-all"`, `"order-status"`, "taken"},
-		{`"homeNo": 0`, `"homeNo": 1`, "own number"}, {`"rules": {`, `"roles": {`, "settings.rules"},
+		{`"name": "cancel-all", `, "", "classes[].name"}, {`"cancel-all"`, `"order-status"`, "already used"},
+		{`"homeNo": 0`, `"homeNo": 1`, "replica index"}, {`"rules": {`, `"roles": {`, "settings.rules"},
 	} {
 		text := strings.Replace(good, c.from, c.to, 1)
 		if text == good {
-			t.Fatalf("%s is not in the file", c.from)
+			t.Fatalf("the file does not contain %s", c.from)
 		}
-		if _, err := reload(text); err == nil || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.60q for %.60q: %v", c.to, c.from, err)
+		if _, err := reload(text); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%.60q in place of %.60q: error %v", c.to, c.from, err)
 		}
 	}
-	for from, to := range map[string]string{`"mostTries": 4`: `"mostTries": 2`, `"changelog": ""`: `"changelog": "127.0.0.1:7070"`,
+	for from, to := range map[string]string{
+		`"mostTries": 4`: `"mostTries": 2`, `"changelog": ""`: `"changelog": "127.0.0.1:7070"`,
 		`"name": "cancel-all"`: `"name": "pull-all"`, `"mostTries": 4,`: `"mostTries": 4, "further": 1,`} {
 		if c, err := reload(strings.Replace(good, from, to, 1)); err != nil || len(c.Settings.Classes) != 3 {
 			t.Errorf("%s: %v", to, err)
