--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -87,7 +87,7 @@
 }
 
 // ParseKnown parses the events in the configuration's "known" object and the number of the last one. zones holds the names of
-// the zones from the settings; a zone's index is its number.
+// the zones from the settings; a zone's index is its number, and an unknown name counts as zone 0.
 func ParseKnown(raw []byte, zones []string) (seq uint64, events []Event, err error) {
 	var k struct {
 		Seq     uint64 `json:"seq"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,8 +64,8 @@
 	return c, nil
 }
 
-// Reload reads the configuration file at path to replace current. The file is accepted whole or refused: it is refused if a key
-// that current has is missing, or if a call class's hard limit or the maximum number of attempts is not a number above 0.
+// Reload reads the configuration file at path to replace current. If a key that current has is missing, or a call class's hard
+// limit or the maximum number of attempts is not a number above 0, the whole file is refused.
 func Reload(path string, current *Config) (*Config, error) {
 	c, err := Load(path)
 	if err != nil {
@@ -146,7 +146,8 @@
 	return ""
 }
 
-// commonKeys returns an object with the keys that all items of a list have, or nil if the list is empty or an item is not an object.
+// commonKeys returns an object with the keys that all items of a list have, or nil if the list is empty or an item is not an
+// object.
 func commonKeys(items []any) any {
 	var shared map[string]any
 	for i, item := range items {
@@ -205,7 +206,7 @@
 	if n, err := strconv.ParseUint(f.Seed, 16, 64); err == nil {
 		c.Seed = n
 	} else {
-		h := fnv.New64a() // any other text is accepted as a seed, too
+		h := fnv.New64a() // any other text is hashed to a seed
 		h.Write([]byte(f.Seed))
 		c.Seed = h.Sum64()
 	}
--- a/internal/sip/sip.go
+++ b/internal/sip/sip.go
@@ -62,7 +62,7 @@
 }
 
 // Parse parses the first message in b and returns it with the number of bytes consumed. If b holds no complete message yet,
-// it returns nil and 0, or the length of leading blank lines, which can be discarded. With an error it returns the part of the
+// it returns nil and 0 (or the length of leading blank lines, which can be discarded). With an error it returns the part of the
 // message that it could parse, or nil, so that a malformed request can be refused.
 func Parse(b []byte) (*Message, int, error) {
 	start := 0
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -80,7 +80,7 @@
 // values maps the path of a setting to its text.
 type values map[string]string
 
-// required returns a whole number that must be present.
+// required returns a whole number, or an error that names the key if it is missing or invalid.
 func (kv values) required(key string) (int, error) {
 	v, ok := kv[key]
 	if !ok {
