--- a/internal/platform/callers_test.go
+++ b/internal/platform/callers_test.go
@@ -77,7 +77,7 @@
 		{invite(id, "check", "1500", "dest:1;width:0", "v=0"), false},
 		{invite(id, "check", "1500", "dest:1;width:Inf", "v=0"), false},
 	} {
-		if _, err := side().parse(c.m.Get("Call-ID"), c.m); (err == nil) != c.ok {
+		if _, err := side().parseInvite(c.m.Get("Call-ID"), c.m); (err == nil) != c.ok {
 			t.Errorf("%.200q: %v", c.m.Append(nil), err)
 		}
 	}
@@ -89,7 +89,7 @@
 	c := dialer(t, s)()
 	const beyond = 40
 	var b []byte
-	for i := 0; i < aheadMost+beyond; i++ {
+	for i := 0; i < maxQueuedPerConn+beyond; i++ {
 		b = invite(fmt.Sprintf("%016x", i), "check", "1500", "dest:1", "v=0").Append(b)
 	}
 	if _, err := c.Write(b); err != nil {
@@ -104,8 +104,8 @@
 		}
 		got = append(got, buf[:n]...)
 	}
-	if n := s.core.Queued(); n != aheadMost+1 { // and the connection's own event
-		t.Errorf("%d events wait, want %d", n, aheadMost+1)
+	if n := s.core.Queued(); n != maxQueuedPerConn+1 { // and the connection's own event
+		t.Errorf("%d events wait, want %d", n, maxQueuedPerConn+1)
 	}
 }
 
@@ -118,7 +118,7 @@
 	came := uint64(0)
 	dial := func() net.Conn {
 		c := connect()
-		for came++; s.came < came; time.Sleep(time.Millisecond) {
+		for came++; s.accepted < came; time.Sleep(time.Millisecond) {
 			s.core.Step()
 		}
 		return c
@@ -127,7 +127,7 @@
 	stands := s.conns[0]
 	stands.legs["9b1f03aa5c7e2d41"] = &callLeg{conn: stands}
 	quiet := dial()
-	now += youngMost
+	now += minIdleToEvict
 	dial()
 	if len(s.conns) != 2 || s.conns[0] != stands || s.core.Metrics.CallersEvicted.Value() != 1 {
 		t.Errorf("%d connections, %d closed", len(s.conns), s.core.Metrics.CallersEvicted.Value())
@@ -150,7 +150,7 @@
 		s.core.Step()
 		time.Sleep(time.Millisecond)
 	}
-	s.conns[0].end()
+	s.conns[0].tearDown()
 	c.Write(invite("9b1f03aa5c7e2d41", "check", "1500", "dest:1", "v=0").Append(nil))
 	for s.core.Queued() == 0 {
 		time.Sleep(time.Millisecond)
@@ -177,7 +177,7 @@
 			}
 		}
 		for _, c := range s.conns {
-			c.said = true
+			c.gotMessage = true
 		}
 	}
 	pass := func(d time.Duration) {
@@ -185,7 +185,7 @@
 		s.core.Step()
 	}
 	offer := func(c *callerConn, id string) {
-		s.invite(c, id, invite(id, "check", "9000", "dest:1", "v=0"))
+		s.handleInvite(c, id, invite(id, "check", "9000", "dest:1", "v=0"))
 	}
 	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
 	open(3)
@@ -194,22 +194,22 @@
 	pass(500 * time.Millisecond)
 	s.Drain(nil)
 	pass(5 * time.Second)
-	if quiet.over || s.closing {
+	if quiet.closed || s.drainClosing {
 		t.Fatal("callers that are taken again were sent away")
 	}
 	s.Drain(pace)
 	pass(500 * time.Millisecond)
 	offer(busy, "9b1f03aa5c7e2d41")
 	offer(last, "9b1f03aa5c7e2d42")
-	if quiet.over {
+	if quiet.closed {
 		t.Error("closed too soon")
 	}
 	pass(500 * time.Millisecond)
-	if !quiet.over || busy.over || last.over {
-		t.Errorf("closed: %t %t %t", quiet.over, busy.over, last.over)
+	if !quiet.closed || busy.closed || last.closed {
+		t.Errorf("closed: %t %t %t", quiet.closed, busy.closed, last.closed)
 	}
 	s.core.Fail(s.legs["9b1f03aa5c7e2d41"].call)
-	if !busy.over {
+	if !busy.closed {
 		t.Error("not closed behind its answer")
 	}
 	pass(time.Second)
@@ -254,36 +254,36 @@
 	}
 	first, other, tester := s.conns[0], s.conns[1], s.conns[2]
 	for _, c := range slices.Clone(s.conns) {
-		c.message(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f01"}}})
+		c.handleMessage(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f01"}}})
 	}
-	leg := &callLeg{conn: &callerConn{over: true}, bye: []byte("BYE"), call: &agent.Call{ID: "9b1f03aa5c7e2d41"}}
+	leg := &callLeg{conn: &callerConn{closed: true}, bye: []byte("BYE"), call: &agent.Call{ID: "9b1f03aa5c7e2d41"}}
 	s.byes["9b1f03aa5c7e2d41"] = leg
 	on := func(what string, want *callerConn) {
 		t.Helper()
-		if leg.byeOn != want {
-			t.Errorf("%s: it is on %+v", what, leg.byeOn)
+		if leg.byeConn != want {
+			t.Errorf("%s: it is on %+v", what, leg.byeConn)
 		}
 	}
-	s.sendByes()
+	s.resendByes()
 	on("only testers", nil)
-	other.message(invite("9b1f03aa5c7e2d42", "none", "1", "dest:1", ""))
+	other.handleMessage(invite("9b1f03aa5c7e2d42", "none", "1", "dest:1", ""))
 	on("a set-up that makes no sense", nil)
-	s.sendByes()
+	s.resendByes()
 	on("for want of a better one", other)
-	other.message(invite("9b1f03aa5c7e2d43", "check", "1500", "dest:1", ""))
+	other.handleMessage(invite("9b1f03aa5c7e2d43", "check", "1500", "dest:1", ""))
 	on("one that brings a call", other)
-	first.message(invite("9b1f03aa5c7e2d44", "check", "1500", "dest:1", ""))
+	first.handleMessage(invite("9b1f03aa5c7e2d44", "check", "1500", "dest:1", ""))
 	on("not confirmed by the first", first)
 	k := s.legs["9b1f03aa5c7e2d43"].call
 	s.Answer(k, "v=0")
-	other.message(&sip.Message{Method: "ACK", Headers: []sip.Header{{Name: "Call-ID", Value: k.ID}}})
+	other.handleMessage(&sip.Message{Method: "ACK", Headers: []sip.Header{{Name: "Call-ID", Value: k.ID}}})
 	on("one that takes answers", other)
-	s.sendByes()
+	s.resendByes()
 	on("that is sure", other)
-	other.end()
+	other.tearDown()
 	on("that has ended", first)
-	tester.message(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f02"}}})
-	first.end()
+	tester.handleMessage(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f02"}}})
+	first.tearDown()
 	on("only a tester", nil)
 }
 
@@ -299,11 +299,11 @@
 		s.core.Step()
 	}
 	c, m := s.conns[0], invite("9b1f03aa5c7e2d41", "check", "9000", "dest:1", "v=0")
-	c.message(m)
+	c.handleMessage(m)
 	s.core.Answered(out, "v=0")
 	m.Method = "CANCEL"
-	c.message(m)
-	now += ackWait
+	c.handleMessage(m)
+	now += ackTimeout
 	s.core.Step()
 	peer.SetReadDeadline(time.Now().Add(20 * time.Second))
 	var got []byte
@@ -314,7 +314,7 @@
 		}
 		got = append(got, buf[:n]...)
 	}
-	c.message(&sip.Message{Status: 481, Headers: []sip.Header{{Name: "Call-ID", Value: m.Get("Call-ID")}, {Name: "CSeq", Value: "1 BYE"}}})
+	c.handleMessage(&sip.Message{Status: 481, Headers: []sip.Header{{Name: "Call-ID", Value: m.Get("Call-ID")}, {Name: "CSeq", Value: "1 BYE"}}})
 	if s.OpenCalls() != 0 || s.core.OpenCalls() != 0 {
 		t.Errorf("%d and %d calls are held", s.OpenCalls(), s.core.OpenCalls())
 	}
--- a/internal/platform/changelog_client.go
+++ b/internal/platform/changelog_client.go
@@ -12,155 +12,156 @@
 )
 
 const (
-	feedSilent  = 2300 * time.Millisecond // an empty frame comes each second
-	feedTimeout = time.Second
-	feedPause   = 200 * time.Millisecond
+	changeLogIdleTimeout   = 2300 * time.Millisecond // the change log sends an empty frame every second
+	changeLogDialTimeout   = time.Second
+	changeLogRetryInterval = 200 * time.Millisecond
 )
 
-// ChangeLogClient follows the change log.
+// ChangeLogClient follows the change log and passes its events on to the far-end side.
 type ChangeLogClient struct {
-	core    *agent.Core
-	fars    *FarEnds
-	log     *zap.Logger
-	addr    string
-	seq     uint64
-	conn    *feedConn
-	dialing *feedConn // the dial that is under way; what an earlier one brings is not wanted any more
-	heard   time.Duration
+	core        *agent.Core
+	farEnds     *FarEnds
+	log         *zap.Logger
+	addr        string
+	seq         uint64
+	conn        *changeLogConn
+	dialing     *changeLogConn // the dial in progress; the result of an earlier dial is discarded
+	lastFrameAt time.Duration
 }
 
-type feedConn struct {
-	feed *ChangeLogClient
-	link *link.Conn
-	over bool
+type changeLogConn struct {
+	client *ChangeLogClient
+	link   *link.Conn
+	closed bool
 }
 
-// NewChangeLogClient applies the events of the start and follows the change log from there; no address: it rests.
-func NewChangeLogClient(core *agent.Core, fars *FarEnds, log *zap.Logger,
-	addr string, seq uint64, known []changelog.Event) *ChangeLogClient {
-	f := &ChangeLogClient{core: core, fars: fars, log: log, addr: addr}
-	for i, e := range known {
+// NewChangeLogClient applies the initial events and follows the change log from there. With an empty address it does not
+// connect.
+func NewChangeLogClient(core *agent.Core, farEnds *FarEnds, log *zap.Logger,
+	addr string, seq uint64, initial []changelog.Event) *ChangeLogClient {
+	cl := &ChangeLogClient{core: core, farEnds: farEnds, log: log, addr: addr}
+	for i, e := range initial {
 		kind := tinbeam.ListDelta
 		if i == 0 {
 			kind = tinbeam.ListCached
 		} else if e.Kind == changelog.FullList {
 			kind = tinbeam.ListFull
 		}
-		f.apply(e, kind)
+		cl.apply(e, kind)
 	}
-	f.seq = max(f.seq, seq)
+	cl.seq = max(cl.seq, seq)
 	var sweep func()
 	sweep = func() {
-		if f.conn != nil && core.Now()-f.heard > feedSilent {
-			f.conn.link.Close() // a link that says nothing is dead, whatever the machine thinks of it
+		if cl.conn != nil && core.Now()-cl.lastFrameAt > changeLogIdleTimeout {
+			cl.conn.link.Close() // an idle connection is dead, even if the kernel still reports it as open
 		}
-		f.dial()
-		core.After(feedPause, sweep)
+		cl.dial()
+		core.After(changeLogRetryInterval, sweep)
 	}
 	core.After(0, sweep)
-	return f
+	return cl
 }
 
-func (f *ChangeLogClient) apply(e changelog.Event, kind tinbeam.ListKind) {
-	f.seq = e.Seq
-	f.core.Metrics.ListEvents.Inc()
-	f.fars.Listed(e.Seq, kind, e.Entries)
+func (cl *ChangeLogClient) apply(e changelog.Event, kind tinbeam.ListKind) {
+	cl.seq = e.Seq
+	cl.core.Metrics.ListEvents.Inc()
+	cl.farEnds.ApplyList(e.Seq, kind, e.Entries)
 }
 
-// SetAddress follows the change log at another address from now on. The numbers continue there. The old one tells nothing
-// further, so neither a link nor a dial to it is waited for.
-func (f *ChangeLogClient) SetAddress(addr string) {
-	if addr == f.addr {
+// SetAddress follows the change log at another address from now on. The sequence numbers continue there. The old address
+// sends no further events, so its connection is closed and a dial to it in progress is ignored.
+func (cl *ChangeLogClient) SetAddress(addr string) {
+	if addr == cl.addr {
 		return
 	}
-	f.addr, f.dialing = addr, nil
-	if c := f.conn; c != nil {
-		f.conn = nil
+	cl.addr, cl.dialing = addr, nil
+	if c := cl.conn; c != nil {
+		cl.conn = nil
 		c.link.Close()
 	}
-	f.dial()
+	cl.dial()
 }
 
-func (f *ChangeLogClient) dial() {
-	if f.addr == "" || f.conn != nil || f.dialing != nil {
+func (cl *ChangeLogClient) dial() {
+	if cl.addr == "" || cl.conn != nil || cl.dialing != nil {
 		return
 	}
-	c := &feedConn{feed: f}
-	f.dialing = c
-	addr := f.addr
+	c := &changeLogConn{client: cl}
+	cl.dialing = c
+	addr := cl.addr
 	go func() {
-		l, err := link.Dial(addr, feedTimeout, c)
-		f.core.Post(func() { f.dialed(c, l, err) })
+		l, err := link.Dial(addr, changeLogDialTimeout, c)
+		cl.core.Post(func() { cl.dialed(c, l, err) })
 	}()
 }
 
-// dialed takes what became of a dial.
-func (f *ChangeLogClient) dialed(c *feedConn, l *link.Conn, err error) {
-	wanted := f.dialing == c
-	if wanted {
-		f.dialing = nil
+// dialed handles the result of a dial.
+func (cl *ChangeLogClient) dialed(c *changeLogConn, l *link.Conn, err error) {
+	current := cl.dialing == c
+	if current {
+		cl.dialing = nil
 	}
 	switch {
 	case err != nil:
-		f.core.Metrics.DialsFailed.Inc()
-	case !wanted:
-		l.Close() // it leads to where the change log was before
-	case c.over:
-		// Guards against a link that broke before this was told of it: it would be waited on as if it were open.
-		f.core.Metrics.DialsFailed.Inc()
+		cl.core.Metrics.DialsFailed.Inc()
+	case !current:
+		l.Close() // it leads to the change log's previous address
+	case c.closed:
+		// The connection broke before the dial's result was handled. Without this case it would be kept as if it were open.
+		cl.core.Metrics.DialsFailed.Inc()
 	default:
-		c.link, f.conn, f.heard = l, c, f.core.Now()
-		f.core.Metrics.ListReconnects.Inc()
-		l.Send(changelog.ResumeRequest(f.seq), nil)
+		c.link, cl.conn, cl.lastFrameAt = l, c, cl.core.Now()
+		cl.core.Metrics.ListReconnects.Inc()
+		l.Send(changelog.ResumeRequest(cl.seq), nil)
 	}
 }
 
-// Data reads frames.
-func (c *feedConn) Data(_ *link.Conn, b []byte) (int, error) {
+// Data parses frames and posts each event to the loop.
+func (c *changeLogConn) Data(_ *link.Conn, b []byte) (int, error) {
 	used := 0
 	for {
 		e, n, err := changelog.Parse(b[used:])
 		if err != nil {
-			c.feed.core.Metrics.Malformed.Inc()
+			c.client.core.Metrics.Malformed.Inc()
 			return used, err
 		}
 		if n == 0 {
 			return used, nil
 		}
 		used += n
-		c.feed.core.Post(func() { c.event(e) })
+		c.client.core.Post(func() { c.handleEvent(e) })
 	}
 }
 
-func (c *feedConn) event(e *changelog.Event) {
-	f := c.feed
-	if f.conn != c {
+func (c *changeLogConn) handleEvent(e *changelog.Event) {
+	cl := c.client
+	if cl.conn != c {
 		return
 	}
-	f.heard = f.core.Now()
+	cl.lastFrameAt = cl.core.Now()
 	switch {
 	case e.Kind == changelog.KeepAlive:
-	case e.Seq <= f.seq:
-		// Guards against an event told twice, a whole list too: what came behind it would be undone.
-		f.core.Metrics.ListGaps.Inc()
+	case e.Seq <= cl.seq:
+		// Ignores a repeated event, including a repeated full list: applying it would undo the events that followed it.
+		cl.core.Metrics.ListGaps.Inc()
 	case e.Kind == changelog.FullList:
-		f.apply(*e, tinbeam.ListFull)
-	case e.Seq > f.seq+1:
-		// Something was missed, and a change applies to what was before it: ask again from the last one held.
-		f.core.Metrics.ListGaps.Inc()
+		cl.apply(*e, tinbeam.ListFull)
+	case e.Seq > cl.seq+1:
+		// Events were missed, and a delta applies only to the state before it: reconnect and resume after the last event held.
+		cl.core.Metrics.ListGaps.Inc()
 		c.link.Close()
 	default:
-		f.apply(*e, tinbeam.ListDelta)
+		cl.apply(*e, tinbeam.ListDelta)
 	}
 }
 
-// Closed tells that the connection has ended.
-func (c *feedConn) Closed(*link.Conn) {
-	c.feed.core.PostNonBlocking(func() {
-		c.over = true
-		if c.feed.conn == c {
-			c.feed.conn = nil
-			c.feed.dial()
+// Closed handles the end of the connection.
+func (c *changeLogConn) Closed(*link.Conn) {
+	c.client.core.PostNonBlocking(func() {
+		c.closed = true
+		if c.client.conn == c {
+			c.client.conn = nil
+			c.client.dial()
 		}
 	})
 }
--- a/internal/platform/farends.go
+++ b/internal/platform/farends.go
@@ -17,102 +17,103 @@
 	"tinbeam/internal/link"
 )
 
-// Figures of the connections to far ends.
+// Limits and timing of the connections to far ends.
 const (
-	linksWanted  = 2   // kept ready to each far end: one that breaks leaves the other to go on with
-	linksMost    = 4   // the state of a group comes on so many
-	farsMany     = 128 // more far ends get one connection each: the descriptors are bounded
-	redialPause  = 200 * time.Millisecond
-	resetPause   = 20 * time.Millisecond  // after a connection that was reset as it came up
-	stuckAfter   = 300 * time.Millisecond // a line of which no more comes for so long never ends, nor does silence
-	knockAfter   = 400 * time.Millisecond // a far end that owes an answer and says nothing for so long gets a new connection
-	sweepEvery   = 250 * time.Millisecond
-	testAfter    = 2 * time.Second // a far end with work of ours that says nothing for so long is tested
-	silentAfter  = 5 * time.Second // and given up after this: what stood there must be released within 8 s of its end
-	releasesMost = 1024            // releases kept for a far end that cannot be reached
+	connsWanted         = 2   // connections kept open to each far end, so that one is left when the other breaks
+	maxConnsPerFarEnd   = 4   // a far end sends its circuit group's state on up to this many connections
+	singleConnAbove     = 128 // with more far ends than this each gets one connection, to limit file descriptors
+	redialDelay         = 200 * time.Millisecond
+	resetRedialDelay    = 20 * time.Millisecond  // after a connection that was reset as soon as it opened
+	stallTimeout        = 300 * time.Millisecond // a line incomplete, or a connection idle, for this long does not recover
+	extraConnDelay      = 400 * time.Millisecond // idle time with a set-up pending before an extra connection is opened
+	sweepInterval       = 250 * time.Millisecond
+	healthCheckDelay    = 2 * time.Second // idle time of a far end with attempts or calls before a health check
+	unresponsiveTimeout = 5 * time.Second // then it has failed: its calls must be released within 8 s of its end
+	maxQueuedReleases   = 1024            // releases kept for a far end that cannot be reached
 )
 
-// FarEnds is the far side: connections to the far ends in the list, kept ready.
+// FarEnds is the far-end side: it keeps connections open to the far ends in the far-end list.
 type FarEnds struct {
-	core    *agent.Core
-	log     *zap.Logger
-	timeout time.Duration // for a connection to come up
-	byID    map[uint32]*far
-	closed  bool
-	changed func()
-}
-
-// far is one far end.
-type far struct {
-	fars     *FarEnds
-	id       uint32
-	addr     string
-	moved    bool // the list has just told another address
-	mode     tinbeam.Mode
-	since    time.Duration
-	conns    []*farConn
-	dialing  bool
-	redialAt time.Duration
-	told     bool // the state of its group has come, or no connection came up
-	heard    time.Duration
-	testing  bool
-	attempts map[string]*agent.Attempt // out or standing, by the id of the call
-	waiting  []*agent.Attempt          // for a connection
-	releases [][]byte                  // for a connection
-	checks   map[string]time.Duration
-}
-
-// farConn is one connection; its methods Data and Closed run outside the loop and only post.
+	core        *agent.Core
+	log         *zap.Logger
+	dialTimeout time.Duration // for opening a connection
+	byID        map[uint32]*farEnd
+	closed      bool
+	onReady     func()
+}
+
+// farEnd is one far end of the list with its connections and attempts.
+type farEnd struct {
+	farEnds        *FarEnds
+	id             uint32
+	addr           string
+	addrChanged    bool // the last list event changed the address
+	mode           tinbeam.Mode
+	onlineSince    time.Duration
+	conns          []*farConn
+	dialing        bool
+	redialAt       time.Duration
+	readyReported  bool // its group's state was received, or no connection could be opened
+	lastReceivedAt time.Duration
+	checkPending   bool
+	attempts       map[string]*agent.Attempt // pending or established, by Call.ID
+	waiting        []*agent.Attempt          // attempts waiting for a connection
+	queuedReleases [][]byte                  // releases waiting for a connection
+	checkSentAt    map[string]time.Duration
+}
+
+// farConn is one connection. Its methods Data and Closed run outside the event loop and only post to it.
 type farConn struct {
-	far  *far
-	link *link.Conn
-	upAt time.Duration
-	over bool
-	// states of the group that came on the others since something came here, and since when they are too many
-	missed   int
-	missedAt time.Duration
-	open     int       // set-ups on it that are not answered
-	state    []float32 // the last of the group that came here
-}
-
-// leg is what this front keeps of an attempt.
-type leg struct {
-	conn   *farConn
-	open   bool // it has no answer yet
-	ticket link.SendHandle
-	expire *agent.Timer // while it waits for a connection
-}
-
-// NewFarEnds makes the far side; changed is called when a far end becomes ready for calls.
-func NewFarEnds(core *agent.Core, log *zap.Logger, timeout time.Duration, changed func()) *FarEnds {
-	if timeout <= 0 {
-		timeout = 500 * time.Millisecond
-	}
-	f := &FarEnds{core: core, log: log, timeout: timeout, byID: map[uint32]*far{}, changed: changed}
+	farEnd      *farEnd
+	link        *link.Conn
+	connectedAt time.Duration
+	closed      bool
+	// group states received on the other connections since the last line on this one, and when they became too many
+	missedStates int
+	missLimitAt  time.Duration
+	pending      int       // set-ups on it that have no answer yet
+	groupState   []float32 // the group's last state received here
+}
+
+// attemptLeg is this front end's state of an attempt, kept in Attempt.Leg.
+type attemptLeg struct {
+	conn    *farConn
+	pending bool // no answer was received yet
+	handle  link.SendHandle
+	expiry  *agent.Timer // runs while the attempt waits for a connection
+}
+
+// NewFarEnds returns the far-end side. onReady is called once for each far end outside the local exchange,
+// when it becomes ready for calls.
+func NewFarEnds(core *agent.Core, log *zap.Logger, dialTimeout time.Duration, onReady func()) *FarEnds {
+	if dialTimeout <= 0 {
+		dialTimeout = 500 * time.Millisecond
+	}
+	f := &FarEnds{core: core, log: log, dialTimeout: dialTimeout, byID: map[uint32]*farEnd{}, onReady: onReady}
 	var sweep func()
 	sweep = func() {
 		for _, id := range slices.Sorted(maps.Keys(f.byID)) {
 			f.byID[id].sweep()
 		}
-		core.After(sweepEvery, sweep)
+		core.After(sweepInterval, sweep)
 	}
-	core.After(sweepEvery, sweep)
+	core.After(sweepInterval, sweep)
 	return f
 }
 
-// Close closes the connections for good. What ends from now on is told to whom opens the next ones.
+// Close closes all connections permanently. Calls that end from now on are reported to the next process that connects.
 func (f *FarEnds) Close() {
 	f.closed = true
 	for _, id := range slices.Sorted(maps.Keys(f.byID)) {
-		f.byID[id].hangUp()
+		f.byID[id].closeConns()
 	}
 }
 
-// Listed takes an event of the list and hands it on to the core.
-func (f *FarEnds) Listed(version uint64, kind tinbeam.ListKind, entries []changelog.Entry) {
+// ApplyList applies a change-log event to the far ends and passes it on to the core.
+func (f *FarEnds) ApplyList(version uint64, kind tinbeam.ListKind, entries []changelog.Entry) {
 	listed := map[uint32]bool{}
 	plain := make([]tinbeam.Entry, len(entries))
-	var changed []*far
+	var changed []*farEnd
 	for i, e := range entries {
 		plain[i] = e.Entry
 		listed[e.Switch] = true
@@ -121,17 +122,18 @@
 			if e.Mode == tinbeam.Gone {
 				continue
 			}
-			x = &far{fars: f, id: e.Switch, attempts: map[string]*agent.Attempt{},
-				checks: map[string]time.Duration{}, heard: f.core.Now(), told: e.ExchangeNumber == f.core.Settings.LocalExchange}
+			x = &farEnd{farEnds: f, id: e.Switch, attempts: map[string]*agent.Attempt{},
+				checkSentAt: map[string]time.Duration{}, lastReceivedAt: f.core.Now(),
+				readyReported: e.ExchangeNumber == f.core.Settings.LocalExchange}
 			f.byID[e.Switch] = x
 		}
 		if x.addr != e.Addr {
-			x.moved = x.addr != ""
+			x.addrChanged = x.addr != ""
 			x.addr = e.Addr
 		}
 		x.mode = e.Mode
-		if e.OnlineSince > x.since {
-			x.since = e.OnlineSince
+		if e.OnlineSince > x.onlineSince {
+			x.onlineSince = e.OnlineSince
 		}
 		changed = append(changed, x)
 	}
@@ -143,44 +145,44 @@
 			}
 		}
 	}
-	// The core hears first, so that the module's next choices are made on the new list; nothing is written in between.
+	// The core is notified first, so that the decision module's next choices use the new list; nothing is sent in between.
 	f.core.UpdateFarEnds(version, kind, plain, f)
 	for _, x := range changed {
-		x.follow()
+		x.reconcile()
 	}
 }
 
-// follow brings the attempts and connections in line with the list.
-func (x *far) follow() {
+// reconcile brings the attempts and connections into line with the far-end list.
+func (x *farEnd) reconcile() {
 	if x.mode != tinbeam.Ready {
-		// Guards the rule on drains: what waits to be written must not go out late.
-		for _, a := range x.sorted() {
-			l := a.Leg.(*leg)
-			if !a.Established() && (l.conn == nil || l.ticket.Withdraw()) {
-				x.fars.core.Metrics.AttemptsWithdrawn.Inc()
-				x.forget(a)
-				x.fars.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
+		// Keeps the rule on drains: a set-up still waiting to be written must not be sent after the drain began.
+		for _, a := range x.sortedAttempts() {
+			l := a.Leg.(*attemptLeg)
+			if !a.Established() && (l.conn == nil || l.handle.Withdraw()) {
+				x.farEnds.core.Metrics.AttemptsWithdrawn.Inc()
+				x.removeAttempt(a)
+				x.farEnds.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
 			}
 		}
 	}
 	if x.mode == tinbeam.Gone {
-		x.cut(x.fars.core.Now())
-		x.hangUp()
-		delete(x.fars.byID, x.id)
+		x.resetAttempts(x.farEnds.core.Now())
+		x.closeConns()
+		delete(x.farEnds.byID, x.id)
 		return
 	}
-	if x.moved {
-		// What was set up at the old address is lost with it, and the connections lead there.
-		x.moved = false
-		x.cut(x.fars.core.Now())
-		x.hangUp()
+	if x.addrChanged {
+		// Calls set up at the old address are lost with it, and the connections lead there.
+		x.addrChanged = false
+		x.resetAttempts(x.farEnds.core.Now())
+		x.closeConns()
 	}
-	// A process that started anew has lost what it had; what was set up since is its own.
-	x.cut(x.since)
-	x.dial(linksWanted)
+	// A restarted process has lost its earlier calls; calls set up after its start are its own.
+	x.resetAttempts(x.onlineSince)
+	x.dial(connsWanted)
 }
 
-func (x *far) sorted() []*agent.Attempt {
+func (x *farEnd) sortedAttempts() []*agent.Attempt {
 	out := make([]*agent.Attempt, 0, len(x.attempts))
 	for _, uid := range slices.Sorted(maps.Keys(x.attempts)) {
 		out = append(out, x.attempts[uid])
@@ -188,47 +190,47 @@
 	return out
 }
 
-// cut ends all attempts that were sent before a time.
-func (x *far) cut(before time.Duration) {
-	for _, a := range x.sorted() {
-		if a.SentAt < before || before == x.fars.core.Now() {
-			x.forget(a)
-			x.fars.core.Ended(a, tinbeam.Reset, 0, nil, farend.CauseReset)
+// resetAttempts ends all attempts and calls that were sent before a time, or all of them if that time is now.
+func (x *farEnd) resetAttempts(before time.Duration) {
+	for _, a := range x.sortedAttempts() {
+		if a.SentAt < before || before == x.farEnds.core.Now() {
+			x.removeAttempt(a)
+			x.farEnds.core.Ended(a, tinbeam.Reset, 0, nil, farend.CauseReset)
 		}
 	}
 }
 
-// hangUp closes the connections. Their set-ups are ended as their ends are told.
-func (x *far) hangUp() {
+// closeConns closes the connections. Their pending set-ups end when the closes are reported.
+func (x *farEnd) closeConns() {
 	for _, c := range slices.Clone(x.conns) {
 		c.link.Close()
 	}
 }
 
-func (x *far) forget(a *agent.Attempt) {
+func (x *farEnd) removeAttempt(a *agent.Attempt) {
 	if x.attempts[a.Call.ID] == a {
 		delete(x.attempts, a.Call.ID)
 	}
-	l := a.Leg.(*leg)
-	x.fars.core.Stop(l.expire)
+	l := a.Leg.(*attemptLeg)
+	x.farEnds.core.Stop(l.expiry)
 	if l.conn == nil {
 		x.waiting = slices.DeleteFunc(x.waiting, func(w *agent.Attempt) bool { return w == a })
 	}
-	l.answered()
+	l.clearPending()
 }
 
-// answered takes a set-up off what its connection has open. Calls that stand belong to no connection and do not count:
-// one that is stuck would have none, and be the next one's choice for ever.
-func (l *leg) answered() {
-	if l.open {
-		l.open = false
-		l.conn.open--
+// clearPending stops counting a set-up as pending on its connection. Established calls belong to no connection and do not
+// count: a stalled connection would have none pending, and be chosen for every next set-up.
+func (l *attemptLeg) clearPending() {
+	if l.pending {
+		l.pending = false
+		l.conn.pending--
 	}
 }
 
-// SetUp sends a set-up, or keeps it until a connection is up, no longer than one may take.
+// SetUp sends a set-up, or keeps it until a connection is open, for at most the dial timeout.
 func (f *FarEnds) SetUp(a *agent.Attempt) {
-	l := &leg{ticket: link.SendHandle{Counter: f.core.Metrics.Launches}}
+	l := &attemptLeg{handle: link.SendHandle{Counter: f.core.Metrics.Launches}}
 	a.Leg = l
 	x := f.byID[a.Switch]
 	if x == nil {
@@ -236,32 +238,32 @@
 		return
 	}
 	x.attempts[a.Call.ID] = a
-	if c := x.best(); c != nil {
-		c.launch(a)
+	if c := x.leastLoaded(); c != nil {
+		c.sendLaunch(a)
 		return
 	}
 	x.waiting = append(x.waiting, a)
-	l.expire = f.core.After(f.timeout, func() {
-		x.forget(a)
+	l.expiry = f.core.After(f.dialTimeout, func() {
+		x.removeAttempt(a)
 		f.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
 	})
 	x.redialAt = 0
-	x.dial(linksWanted)
+	x.dial(connsWanted)
 }
 
-// best is the connection with the fewest set-ups open on it.
-func (x *far) best() *farConn {
+// leastLoaded returns the connection with the fewest pending set-ups; nil: none is open.
+func (x *farEnd) leastLoaded() *farConn {
 	var best *farConn
 	for _, c := range x.conns {
-		if best == nil || c.open < best.open {
+		if best == nil || c.pending < best.pending {
 			best = c
 		}
 	}
 	return best
 }
 
-// launch is the set-up of a call as a far end reads it.
-func launch(k *agent.Call, class string, left time.Duration) *farend.Message {
+// launchLine is the line that sets a call up at a far end.
+func launchLine(k *agent.Call, class string, left time.Duration) *farend.Message {
 	m := &farend.Message{Kind: farend.Launch, UID: k.ID, Body: k.Description, Meta: map[string]string{
 		"class": class, "left": strconv.FormatInt(left.Milliseconds(), 10)}}
 	if k.Number != "" {
@@ -270,169 +272,169 @@
 	return m
 }
 
-func (c *farConn) launch(a *agent.Attempt) {
-	k, l := a.Call, a.Leg.(*leg)
-	core := c.far.fars.core
+func (c *farConn) sendLaunch(a *agent.Attempt) {
+	k, l := a.Call, a.Leg.(*attemptLeg)
+	core := c.farEnd.farEnds.core
 	left := max(a.Timeout-(core.Now()-a.SentAt), time.Millisecond)
-	m := launch(k, core.Settings.Classes[k.Class].Name, left)
-	l.conn, l.open = c, true
-	c.open++
-	if e := c.far.fars.log.Check(zap.DebugLevel, "set-up"); e != nil {
-		e.Write(zap.String("far", c.far.addr), zap.String("uid", k.ID), zap.Float64("width", k.Width))
+	m := launchLine(k, core.Settings.Classes[k.Class].Name, left)
+	l.conn, l.pending = c, true
+	c.pending++
+	if e := c.farEnd.farEnds.log.Check(zap.DebugLevel, "set-up"); e != nil {
+		e.Write(zap.String("far", c.farEnd.addr), zap.String("uid", k.ID), zap.Float64("width", k.Width))
 	}
-	c.link.Send(m.Append(nil), &l.ticket) // if it is refused, the connection's end is told and ends the attempt
+	c.link.Send(m.Append(nil), &l.handle) // if Send fails, the connection's close is reported and ends the attempt
 }
 
-// Cancel takes a set-up back, or calls it off.
+// Cancel withdraws a set-up that has not been written, or cancels it at the far end.
 func (f *FarEnds) Cancel(a *agent.Attempt) {
-	l := a.Leg.(*leg)
+	l := a.Leg.(*attemptLeg)
 	x := f.byID[a.Switch]
 	if x == nil {
 		return
 	}
-	x.forget(a)
-	if l.conn == nil || l.ticket.Withdraw() {
+	x.removeAttempt(a)
+	if l.conn == nil || l.handle.Withdraw() {
 		f.core.Metrics.AttemptsWithdrawn.Inc()
 		return
 	}
 	l.conn.link.Send((&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: farend.CauseNormal}).Append(nil), nil)
 }
 
-// Release ends a call that stands: on the connection of its set-up, or any other, or the next.
+// Release releases an established call: on the connection of its set-up, else on any other, else on the next one opened.
 func (f *FarEnds) Release(a *agent.Attempt, cause int) {
 	x := f.byID[a.Switch]
 	if x == nil {
 		return
 	}
-	x.forget(a)
+	x.removeAttempt(a)
 	m := (&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: cause}).Append(nil)
-	if c := a.Leg.(*leg).conn; c != nil && c.link.Send(m, nil) {
+	if c := a.Leg.(*attemptLeg).conn; c != nil && c.link.Send(m, nil) {
 		return
 	}
-	if c := x.best(); c != nil && c.link.Send(m, nil) {
+	if c := x.leastLoaded(); c != nil && c.link.Send(m, nil) {
 		return
 	}
-	if len(x.releases) < releasesMost {
-		x.releases = append(x.releases, m)
+	if len(x.queuedReleases) < maxQueuedReleases {
+		x.queuedReleases = append(x.queuedReleases, m)
 	}
 }
 
-// Probe tests a far end.
+// Probe sends a load probe to a far end.
 func (f *FarEnds) Probe(id uint32) {
 	x := f.byID[id]
-	if x == nil || !x.check() {
+	if x == nil || !x.sendCheck() {
 		f.core.Probed(id, tinbeam.ConnectFailed, 0, nil)
 	}
 }
 
-func (x *far) check() bool {
-	c := x.best()
+func (x *farEnd) sendCheck() bool {
+	c := x.leastLoaded()
 	if c == nil {
-		x.dial(linksWanted)
+		x.dial(connsWanted)
 		return false
 	}
 	uid := fmt.Sprintf("%016x", rand.Uint64())
-	x.checks[uid] = x.fars.core.Now()
+	x.checkSentAt[uid] = x.farEnds.core.Now()
 	return c.link.Send((&farend.Message{Kind: farend.Check, UID: uid}).Append(nil), nil)
 }
 
-// dial opens a connection where there are fewer than most. It runs beside the loop and posts what became of it.
-func (x *far) dial(most int) {
-	f := x.fars
-	if len(f.byID) > farsMany {
-		most = 1
+// dial opens a connection if there are fewer than limit. It dials outside the event loop and posts the result.
+func (x *farEnd) dial(limit int) {
+	f := x.farEnds
+	if len(f.byID) > singleConnAbove {
+		limit = 1
 	}
-	if f.closed || x.dialing || len(x.conns) >= most || x.mode == tinbeam.Gone || f.core.Now() < x.redialAt {
+	if f.closed || x.dialing || len(x.conns) >= limit || x.mode == tinbeam.Gone || f.core.Now() < x.redialAt {
 		return
 	}
 	x.dialing = true
 	addr := x.addr
-	c := &farConn{far: x}
+	c := &farConn{farEnd: x}
 	go func() {
-		l, err := link.Dial(addr, f.timeout, c)
+		l, err := link.Dial(addr, f.dialTimeout, c)
 		f.core.Post(func() {
 			x.dialing = false
 			if err == nil && (x.addr != addr || f.byID[x.id] != x) {
 				l.Close()
-				err = fmt.Errorf("the far end has moved")
+				err = fmt.Errorf("the far end's address has changed")
 			}
 			if err != nil {
-				x.unreached(link.Refused(err))
+				x.dialFailed(link.Refused(err))
 			} else {
-				x.up(c, l)
+				x.connected(c, l)
 			}
 		})
 	}()
 }
 
-// unreached: a connection did not come up. Refused, it proves that the process is gone, and what stood there.
-func (x *far) unreached(refused bool) {
-	core := x.fars.core
+// dialFailed handles a connection that could not be opened. A refused one proves that the process and its calls are gone.
+func (x *farEnd) dialFailed(refused bool) {
+	core := x.farEnds.core
 	core.Metrics.DialsFailed.Inc()
-	x.redialAt = core.Now() + redialPause
-	x.ready()
+	x.redialAt = core.Now() + redialDelay
+	x.reportReady()
 	if len(x.conns) > 0 {
 		return
 	}
 	if refused {
 		for _, a := range slices.Clone(x.waiting) {
-			x.forget(a)
+			x.removeAttempt(a)
 			core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
 		}
-		x.cut(core.Now())
+		x.resetAttempts(core.Now())
 	}
 }
 
-// pause lets a moment pass before the next connection.
-func (x *far) pause() {
-	x.redialAt = x.fars.core.Now() + resetPause
-	x.fars.core.At(x.redialAt, func() {
-		if x.fars.byID[x.id] == x {
-			x.dial(linksWanted)
+// redialLater dials the next connection after resetRedialDelay.
+func (x *farEnd) redialLater() {
+	x.redialAt = x.farEnds.core.Now() + resetRedialDelay
+	x.farEnds.core.At(x.redialAt, func() {
+		if x.farEnds.byID[x.id] == x {
+			x.dial(connsWanted)
 		}
 	})
 }
 
-// ready tells once that the state of the group has come, or cannot.
-func (x *far) ready() {
-	if !x.told {
-		x.told = true
-		x.fars.changed()
+// reportReady reports, once, that the group's state was received or cannot be.
+func (x *farEnd) reportReady() {
+	if !x.readyReported {
+		x.readyReported = true
+		x.farEnds.onReady()
 	}
 }
 
-func (x *far) up(c *farConn, l *link.Conn) {
-	core := x.fars.core
-	if c.over {
-		// Guards against a connection that was reset before this was told of it: set-ups would be given to it for good.
-		x.unreached(false)
-		x.pause()
+func (x *farEnd) connected(c *farConn, l *link.Conn) {
+	core := x.farEnds.core
+	if c.closed {
+		// The connection was reset before the dial's result was handled. Without this, set-ups would be sent on it forever.
+		x.dialFailed(false)
+		x.redialLater()
 		return
 	}
-	c.link, c.upAt = l, core.Now()
-	if c.state != nil && len(x.conns) == 0 {
-		core.Report(x.id, c.state) // it came ahead of this
+	c.link, c.connectedAt = l, core.Now()
+	if c.groupState != nil && len(x.conns) == 0 {
+		core.Report(x.id, c.groupState) // it was received before the dial's result was handled
 	}
 	x.conns = append(x.conns, c)
-	x.heard, x.testing = core.Now(), false
+	x.lastReceivedAt, x.checkPending = core.Now(), false
 	core.Metrics.LinksUp.Inc()
-	for _, m := range x.releases {
+	for _, m := range x.queuedReleases {
 		l.Send(m, nil)
 	}
-	x.releases = nil
+	x.queuedReleases = nil
 	waiting := x.waiting
 	x.waiting = nil
 	for _, a := range waiting {
-		core.Stop(a.Leg.(*leg).expire)
-		c.launch(a)
+		core.Stop(a.Leg.(*attemptLeg).expiry)
+		c.sendLaunch(a)
 	}
-	x.dial(linksWanted)
+	x.dial(connsWanted)
 }
 
-// Data reads lines. What cannot be read ends the connection at once, before what still waits to be written: whatever
-// comes behind it cannot be followed, so that set-ups open on it would wait for nothing.
+// Data parses lines. A malformed line closes the connection at once and drops what still waits to be written: the lines
+// behind it cannot be parsed, so set-ups pending on the connection would get no answer.
 func (c *farConn) Data(l *link.Conn, b []byte) (int, error) {
-	core := c.far.fars.core
+	core := c.farEnd.farEnds.core
 	used := 0
 	for {
 		m, n, err := farend.Parse(b[used:])
@@ -440,74 +442,75 @@
 		switch {
 		case err != nil:
 			core.Metrics.Malformed.Inc()
-			c.far.fars.log.Debug("far end cannot be read", zap.Error(err), zap.ByteString("from", b[used-n:min(len(b), used-n+160)]))
+			c.farEnd.farEnds.log.Debug("malformed line from far end",
+				zap.Error(err), zap.ByteString("from", b[used-n:min(len(b), used-n+160)]))
 			l.Close()
 			return used, err
 		case n == 0:
 			return used, nil
 		case m != nil:
-			core.Post(func() { c.heard(m) })
+			core.Post(func() { c.handleLine(m) })
 		}
 	}
 }
 
-// Closed tells that the connection has ended.
-func (c *farConn) Closed(*link.Conn) { c.far.fars.core.PostNonBlocking(c.lost) }
+// Closed handles the end of the connection.
+func (c *farConn) Closed(*link.Conn) { c.farEnd.farEnds.core.PostNonBlocking(c.tearDown) }
 
-// lost: the set-ups that are open on a connection are given up with it; what stands belongs to no connection.
-func (c *farConn) lost() {
-	x := c.far
-	c.over = true
-	core := x.fars.core
+// tearDown ends the set-ups pending on a closed connection. Established calls belong to no connection and stay.
+func (c *farConn) tearDown() {
+	x := c.farEnd
+	c.closed = true
+	core := x.farEnds.core
 	if !slices.Contains(x.conns, c) {
-		return // it came up when it was not wanted any more
+		return // it opened when it was no longer needed
 	}
 	x.redialAt = 0
-	if core.Now()-c.upAt < resetPause {
-		x.pause() // reset when new, and the next one may be too
+	if core.Now()-c.connectedAt < resetRedialDelay {
+		x.redialLater() // it was reset right after opening, and the next one may be too
 	}
 	core.Metrics.LinksLost.Inc()
-	x.fars.log.Debug("link lost", zap.String("far", x.addr), zap.Int("open", c.open))
+	x.farEnds.log.Debug("connection to far end lost", zap.String("far", x.addr), zap.Int("open", c.pending))
 	first := x.conns[0] == c
 	x.conns = slices.DeleteFunc(x.conns, func(o *farConn) bool { return o == c })
-	if first && len(x.conns) > 0 && x.conns[0].state != nil {
-		core.Report(x.id, x.conns[0].state) // from now on the states are taken from there
+	if first && len(x.conns) > 0 && x.conns[0].groupState != nil {
+		core.Report(x.id, x.conns[0].groupState) // from now on the group's states are taken from this connection
 	}
-	for _, a := range x.sorted() {
-		l := a.Leg.(*leg)
+	for _, a := range x.sortedAttempts() {
+		l := a.Leg.(*attemptLeg)
 		if l.conn != c || a.Established() {
 			continue
 		}
-		x.forget(a)
-		// Guards a sound far end: that one connection broke says nothing of its load or health. Where the process
-		// has died the next connection is refused, and that tells.
-		if l.ticket.Withdraw() { // not a byte of it was written: it never ran
+		x.removeAttempt(a)
+		// Keeps a healthy far end in use: one broken connection says nothing about its load or health. If the process
+		// has died, the next connection is refused, which shows it.
+		if l.handle.Withdraw() { // none of it was written, so the far end never received it
 			core.Ended(a, tinbeam.ConnectFailed, tinbeam.NoteLinkLost, nil, 0)
 		} else {
 			core.Ended(a, tinbeam.Reset, tinbeam.NoteLinkLost, nil, farend.CauseReset)
 		}
 	}
-	x.dial(linksWanted)
+	x.dial(connsWanted)
 }
 
-// heard takes one line.
-func (c *farConn) heard(m *farend.Message) {
-	x := c.far
-	core := x.fars.core
-	x.heard, x.testing = core.Now(), false
-	c.missed = 0
+// handleLine handles one line from the far end.
+func (c *farConn) handleLine(m *farend.Message) {
+	x := c.farEnd
+	core := x.farEnds.core
+	x.lastReceivedAt, x.checkPending = core.Now(), false
+	c.missedStates = 0
 	a := x.attempts[m.UID]
-	if e := x.fars.log.Check(zap.DebugLevel, m.Kind); e != nil {
+	if e := x.farEnds.log.Check(zap.DebugLevel, m.Kind); e != nil {
 		e.Write(zap.String("far", x.addr), zap.String("uid", m.UID), zap.Int("cause", m.Cause), zap.Any("meta", m.Meta))
 	}
 	switch m.Kind {
 	case farend.Staging, farend.Stopped:
 	case farend.Running:
 		if a == nil {
-			core.Metrics.StrayMessages.Inc() // it crossed the stop of its set-up, which ends it at the far end
+			core.Metrics.StrayMessages.Inc() // it crossed the stop line for its set-up, which ends it at the far end
 			return
 		}
-		a.Leg.(*leg).answered()
+		a.Leg.(*attemptLeg).clearPending()
 		core.Answered(a, m.Body)
 	case farend.Stop:
 		if a == nil {
@@ -517,27 +520,28 @@
 		if a.Established() {
 			c.link.Send((&farend.Message{Kind: farend.Stopped, UID: m.UID}).Append(nil), nil)
 		}
-		x.forget(a)
+		x.removeAttempt(a)
 		core.Ended(a, m.OutcomeCode(a.Established()), m.Note(), m.Report(core.Settings.ReportFields), m.Cause)
 	case farend.Usage:
-		// Guards against a state told twice: it comes on every connection, and the copy that comes second is older than
-		// the set-ups that the first one let go. Taken as news, it lets as many go again, and they find no circuit.
-		if c.state = m.Report(core.Settings.ReportFields); c.state != nil && len(x.conns) > 0 && x.conns[0] == c {
-			core.Report(x.id, c.state)
+		// A group's state is sent on every connection, so only the copy on the first one is reported. The second copy is
+		// older than the set-ups sent after the first; reported too, it would let as many go again, and they would find
+		// no free circuit.
+		if c.groupState = m.Report(core.Settings.ReportFields); c.groupState != nil && len(x.conns) > 0 && x.conns[0] == c {
+			core.Report(x.id, c.groupState)
 		}
-		x.ready()
+		x.reportReady()
 		for _, o := range x.conns {
 			if o != c {
-				o.miss(core.Now())
+				o.noteMissedState(core.Now())
 			}
 		}
 	case farend.Checked:
-		at, ok := x.checks[m.UID]
+		at, ok := x.checkSentAt[m.UID]
 		if !ok {
 			core.Metrics.StrayMessages.Inc()
 			return
 		}
-		delete(x.checks, m.UID)
+		delete(x.checkSentAt, m.UID)
 		code := tinbeam.OK
 		if m.Cause != farend.CheckPassed {
 			code = tinbeam.Failed
@@ -548,79 +552,81 @@
 	}
 }
 
-// miss notes a state of the group that came on another connection. Each comes on all of them, at nearly the same time: the
-// last one may have come here first, but not the one before.
-func (c *farConn) miss(now time.Duration) {
-	if c.missed++; c.missed == 2*(len(c.far.conns)-1) {
-		c.missedAt = now
+// noteMissedState counts a group state received on another connection. Each state is sent on all connections at nearly the
+// same time: the latest may have been received here first, but not the one before it.
+func (c *farConn) noteMissedState(now time.Duration) {
+	if c.missedStates++; c.missedStates == 2*(len(c.farEnd.conns)-1) {
+		c.missLimitAt = now
 	}
 }
 
-// stuck tells that a connection stays open and is of no more use: a line on it does not end, or the far end is heard on
-// others and not here.
-func (c *farConn) stuck(now time.Duration) bool {
-	return c.link.StalledFor() > stuckAfter || c.missed >= 2*(len(c.far.conns)-1) && c.missed > 0 && now-c.missedAt > stuckAfter
+// stalled reports whether a connection is open but unusable: a line on it stays incomplete, or lines are received on the
+// other connections and not on this one.
+func (c *farConn) stalled(now time.Duration) bool {
+	return c.link.StalledFor() > stallTimeout || c.missedStates >= 2*(len(c.farEnd.conns)-1) &&
+		c.missedStates > 0 && now-c.missLimitAt > stallTimeout
 }
 
-// sweep looks after what only time changes: connections to open, and far ends that have fallen silent.
-func (x *far) sweep() {
-	core := x.fars.core
+// sweep handles what depends on time alone: connections to open or close, and unresponsive far ends.
+func (x *farEnd) sweep() {
+	core := x.farEnds.core
 	for _, c := range slices.Clone(x.conns) {
-		if c.stuck(core.Now()) {
+		if c.stalled(core.Now()) {
 			core.Metrics.StalledLinks.Inc()
 			c.link.Close()
 		}
 	}
-	x.dial(linksWanted)
-	for uid, at := range x.checks {
-		if core.Now()-at > silentAfter {
-			delete(x.checks, uid)
+	x.dial(connsWanted)
+	for uid, at := range x.checkSentAt {
+		if core.Now()-at > unresponsiveTimeout {
+			delete(x.checkSentAt, uid)
 		}
 	}
-	quiet := core.Now() - x.heard
+	idle := core.Now() - x.lastReceivedAt
 	if len(x.attempts) == 0 {
 		return
 	}
 	switch {
-	case quiet > silentAfter:
-		// A machine that vanished or is cut off says nothing, its connections stay open, and no new one came up.
-		x.fars.log.Warn("far end is silent", zap.String("id", changelog.FormatID(x.id)), zap.Int("calls", len(x.attempts)))
+	case idle > unresponsiveTimeout:
+		// A machine that is gone or cut off sends nothing, its connections stay open, and no new one could be opened.
+		x.farEnds.log.Warn("far end is unresponsive",
+			zap.String("id", changelog.FormatID(x.id)), zap.Int("calls", len(x.attempts)))
 		core.Metrics.IdleLinks.Inc()
-		x.cut(core.Now())
-		x.hangUp()
-	case quiet > testAfter && !x.testing:
-		x.testing = true
-		x.check()
-		x.knock()
-	case quiet > knockAfter && len(x.conns) < linksMost && x.owes(knockAfter):
-		// All its connections may be stuck. A new one brings the state of the group before anything else, and so tells.
-		x.dial(linksMost)
+		x.resetAttempts(core.Now())
+		x.closeConns()
+	case idle > healthCheckDelay && !x.checkPending:
+		x.checkPending = true
+		x.sendCheck()
+		x.openTestConn()
+	case idle > extraConnDelay && len(x.conns) < maxConnsPerFarEnd && x.pendingLongerThan(extraConnDelay):
+		// All its connections may be stalled. On a new one the far end first sends its group's state, which shows it is alive.
+		x.dial(maxConnsPerFarEnd)
 	}
 }
 
-// owes tells whether a set-up has been out for so long.
-func (x *far) owes(long time.Duration) bool {
+// pendingLongerThan reports whether a set-up has been pending for longer than age.
+func (x *farEnd) pendingLongerThan(age time.Duration) bool {
 	for _, a := range x.attempts {
-		if !a.Established() && x.fars.core.Now()-a.SentAt > long {
+		if !a.Established() && x.farEnds.core.Now()-a.SentAt > age {
 			return true
 		}
 	}
 	return false
 }
 
-// knock opens one more connection to a far end that says nothing. Guards the calls that stand at one that merely hangs:
-// its machine still takes connections, while to one that vanished or is cut off none ever comes up.
-func (x *far) knock() {
-	if len(x.conns) >= linksMost {
+// openTestConn opens one more connection to an unresponsive far end. This keeps the established calls of a far end that only
+// hangs: its machine still accepts connections, while one to a machine that is gone or cut off is never opened.
+func (x *farEnd) openTestConn() {
+	if len(x.conns) >= maxConnsPerFarEnd {
 		for _, c := range x.conns {
-			open := slices.ContainsFunc(x.sorted(), func(a *agent.Attempt) bool {
-				return a.Leg.(*leg).conn == c && !a.Established()
+			open := slices.ContainsFunc(x.sortedAttempts(), func(a *agent.Attempt) bool {
+				return a.Leg.(*attemptLeg).conn == c && !a.Established()
 			})
-			if !open { // nothing is given up with it
+			if !open { // no set-up is lost with it
 				c.link.Close()
 				break
 			}
 		}
 	}
-	x.dial(linksMost)
+	x.dial(maxConnsPerFarEnd)
 }
