--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -1,5 +1,5 @@
-// Package platform is the front for the platform's own protocol: SIP from callers, JSON lines to far ends, and the
-// change log. It joins the pure parsers to the connections and to the core, and takes no decision.
+// Package platform is the front end for the platform's own protocol: SIP with callers, JSON lines with far ends, and the
+// change log. It connects the parsers, the connections and the core, and takes no decisions.
 package platform
 
 import (
@@ -22,52 +22,52 @@
 )
 
 const (
-	ackTimeout       = time.Second // an answer that crossed a CANCEL and is not acknowledged in this time is released
+	ackTimeout       = time.Second // a call whose answer crossed a CANCEL is released if no ACK arrives in this time
 	byeRetryInterval = 300 * time.Millisecond
-	byeTTL           = 8 * time.Second  // a release that could not be delivered in this time is of no more use
-	finishedTTL      = 30 * time.Second // how long it is remembered that a call was answered
+	byeTTL           = 8 * time.Second  // a release not confirmed within this time is dropped
+	finishedTTL      = 30 * time.Second // how long the Call-ID of a finished call is remembered
 	maxFinished      = 20000
 
-	// What one connection may do. The usual callers stay far below, and none of it depends on who they are.
-	readTimeout        = 2 * time.Second        // from when it came, or a message of it began, until that message is whole
-	maxPendingPerConn  = 256                    // set-ups on it without an answer
-	maxQueuedPerConn   = 256                    // messages of it that are read and not handled yet
-	maxBadRequests     = 16                     // requests of it that were refused for what they are
-	minIdleToEvict     = 300 * time.Millisecond // a connection that has not spoken is left so long before it makes room
-	healthCheckTimeout = 700 * time.Millisecond // a test that comes before the agent is ready waits for it so long
+	// Limits of one connection. Regular callers stay far below them, and they are the same for every caller.
+	readTimeout        = 2 * time.Second        // from the accept, or the first byte of a message, until the message is complete
+	maxPendingPerConn  = 256                    // set-ups without a final answer
+	maxQueuedPerConn   = 256                    // messages received and not handled yet
+	maxBadRequests     = 16                     // invalid requests before the connection is closed
+	minIdleToEvict     = 300 * time.Millisecond // a connection idle (or open) for less than this is not evicted
+	healthCheckTimeout = 700 * time.Millisecond // a health check that arrives before the agent is ready waits this long for it
 )
 
-// Callers is the caller side.
+// Callers is the caller side: it serves SIP to the callers.
 type Callers struct {
 	core             *agent.Core
 	log              *zap.Logger
 	sentBy           string
 	ready            bool
 	legs             map[string]*callLeg // by Call-ID
-	conns            []*callerConn       // open, the latest to say something last
-	stopping         bool                // the agent is about to end and takes no more calls
-	drain            *DrainSchedule      // how callers are sent away; nil: they are taken
-	drainClosing     bool                // and how far that has come
-	drainRefusing    bool
-	softConnLimit    int                 // connections beyond which those without a set-up make room
-	legBytes         int                 // bytes of set-ups that are not over
-	maxBytes         int                 // bytes of set-ups held, and of messages waiting to be handled
-	queuedBytes      atomic.Int64        // bytes of messages read and not handled yet
-	byes             map[string]*callLeg // releases that no caller has confirmed
-	finished         map[string]uint64   // calls that are over and had their final answer, with the connection they came on
-	accepted         uint64              // connections so far
-	finishedOrder    []finishedCall      // the same, oldest first
-	heldHealthChecks []func()
+	conns            []*callerConn       // open, in the order of their last message
+	stopping         bool                // the agent is about to exit and refuses new calls
+	drain            *DrainSchedule      // the drain in progress; nil: callers are accepted
+	drainClosing     bool                // CloseAfter of the drain has passed
+	drainRefusing    bool                // RefuseAfter of the drain has passed
+	softConnLimit    int                 // above this many connections, each new one evicts one without a call
+	legBytes         int                 // bytes of the set-ups in legs
+	maxBytes         int                 // upper bound of legBytes, and of queuedBytes
+	queuedBytes      atomic.Int64        // bytes of messages received and not handled yet
+	byes             map[string]*callLeg // releases that no caller has confirmed, by Call-ID
+	finished         map[string]uint64   // number of the connection that the set-up of each finished call came on, by Call-ID
+	accepted         uint64              // connections accepted so far
+	finishedOrder    []finishedCall      // the finished calls, oldest first
+	heldHealthChecks []func()            // answer the health checks received before the agent was ready
 	branch           uint64
 }
 
-// callLeg is what this front keeps of a call.
+// callLeg is this front end's state of a call, kept in Call.Leg.
 type callLeg struct {
 	call       *agent.Call
 	conn       *callerConn
-	invite     *sip.Message // what its answers copy
+	invite     *sip.Message // the INVITE, whose headers the answers copy
 	size       int
-	pending    bool // it has no final answer
+	pending    bool // it has no final answer yet
 	acked      bool
 	bye        []byte
 	byeConn    *callerConn
@@ -79,26 +79,27 @@
 	finishedAt time.Duration
 }
 
-// finish forgets a call, but not that it was answered. Guards against a set-up that comes again behind its answer: it would
-// run as a new call, and be answered a second time.
+// finish removes a call but remembers its Call-ID. Without this, an INVITE repeated after its final answer would run as a new
+// call and be answered a second time.
 func (s *Callers) finish(id string) {
 	leg := s.legs[id]
 	if leg == nil {
 		return
 	}
-	id = leg.call.ID // what came with a message keeps the whole of it in memory
+	id = leg.call.ID // the parameter may be part of a message, and would keep all of it in memory
 	s.removeLeg(id)
 	if _, ok := s.finished[id]; !ok {
 		s.finished[id] = leg.conn.number
 		s.finishedOrder = append(s.finishedOrder, finishedCall{id, s.core.Now()})
 	}
-	for len(s.finishedOrder) > 0 && (len(s.finishedOrder) > maxFinished || s.core.Now()-s.finishedOrder[0].finishedAt > finishedTTL) {
+	for len(s.finishedOrder) > 0 && (len(s.finishedOrder) > maxFinished ||
+		s.core.Now()-s.finishedOrder[0].finishedAt > finishedTTL) {
 		delete(s.finished, s.finishedOrder[0].id)
 		s.finishedOrder = s.finishedOrder[1:]
 	}
 }
 
-// removeLeg drops what is kept of a call.
+// removeLeg removes the state of a call.
 func (s *Callers) removeLeg(id string) {
 	if leg := s.legs[id]; leg != nil {
 		s.clearPending(leg)
@@ -109,7 +110,7 @@
 	delete(s.byes, id)
 }
 
-// clearPending notes that a set-up has its final answer, or is owed none.
+// clearPending records that a set-up is not waiting for a final answer any longer.
 func (s *Callers) clearPending(leg *callLeg) {
 	if leg.pending {
 		leg.pending = false
@@ -117,41 +118,41 @@
 	}
 }
 
-// RefuseNewCalls takes no more calls: what still comes is refused.
+// RefuseNewCalls refuses every further set-up.
 func (s *Callers) RefuseNewCalls() { s.stopping = true }
 
-// DrainSchedule is how callers are sent away, in times from when that began; 0: never.
+// DrainSchedule says when the steps of a drain begin, counted from its start. With 0 a step is left out.
 type DrainSchedule struct {
-	CloseAfter  time.Duration // from then on a connection is closed as soon as no set-up is open on it
-	RefuseAfter time.Duration // from then on further set-ups are refused, so that the busiest connection comes to that too
-	EndAfter    time.Duration // and then what is still open is answered, and every connection closed
+	CloseAfter  time.Duration // from then on each connection is closed as soon as no set-up is pending on it
+	RefuseAfter time.Duration // from then on set-ups are refused, so that busy connections become idle too
+	EndAfter    time.Duration // then the set-ups still pending are failed and all connections closed
 }
 
-// Drain sends callers away, or with nil takes them again. Tests are failed; who is connected is served until its connection
-// can be closed, best right behind an answer, when no request crosses the close. A call that stands belongs to no
-// connection: its release goes to whoever connects next.
-func (s *Callers) Drain(pace *DrainSchedule) {
-	s.drain = pace
+// Drain starts draining callers, or with nil accepts them again. During a drain health checks fail; connected callers are
+// served until their connection can be closed, preferably right after an answer, when no request crosses the close. An
+// established call belongs to no connection: its release goes to the caller that connects next.
+func (s *Callers) Drain(schedule *DrainSchedule) {
+	s.drain = schedule
 	s.drainRefusing = false
-	if pace == nil {
+	if schedule == nil {
 		return
 	}
 	after := func(d time.Duration, do func()) {
 		if d > 0 {
 			s.core.After(d, func() {
-				if s.drain == pace { // else they were taken again meanwhile
+				if s.drain == schedule { // otherwise the drain was cancelled or replaced meanwhile
 					do()
 				}
 			})
 		}
 	}
 	s.drainClosing = false
-	after(pace.CloseAfter, func() {
+	after(schedule.CloseAfter, func() {
 		s.drainClosing = true
 		s.closeIdle()
 	})
-	after(pace.RefuseAfter, func() { s.drainRefusing = true })
-	after(pace.EndAfter, func() {
+	after(schedule.RefuseAfter, func() { s.drainRefusing = true })
+	after(schedule.EndAfter, func() {
 		for _, c := range slices.Clone(s.conns) {
 			for _, id := range slices.Sorted(maps.Keys(c.legs)) {
 				if leg := c.legs[id]; leg.pending {
@@ -169,7 +170,7 @@
 	}
 }
 
-// closeIfIdle closes a connection with no set-up open on it while callers are sent away.
+// closeIfIdle closes a connection with no set-up pending on it, once a drain closes connections.
 func (c *callerConn) closeIfIdle() {
 	if s := c.callers; s.drain != nil && s.drainClosing && !c.closed && c.pending == 0 && c.queued.Load() == 0 && c.gotMessage {
 		c.link.CloseAfterFlush()
@@ -177,7 +178,7 @@
 	}
 }
 
-// Close closes the connections behind what is still to be written on them.
+// Close closes all connections once their queued data has been written.
 func (s *Callers) Close() {
 	for _, c := range slices.Clone(s.conns) {
 		c.link.CloseAfterFlush()
@@ -185,31 +186,33 @@
 	}
 }
 
-// OpenCalls is how many calls wait for their final answer, stand, or are over and not yet released by their callers.
+// OpenCalls returns how many calls wait for their final answer, are established, or have ended without their caller having
+// confirmed the release.
 func (s *Callers) OpenCalls() int { return len(s.legs) }
 
-// callerConn is one connection; its methods Data and Closed run outside the loop and only post.
+// callerConn is one connection. Its methods Data and Closed run outside the event loop; they post to it and change nothing
+// but the counts of queued messages.
 type callerConn struct {
 	callers       *Callers
 	link          *link.Conn
 	number        uint64
 	closed        bool
-	gotMessage    bool                // a whole message has come
-	gotNonOptions bool                // and one that is no test
-	gotCall       bool                // and a set-up that could be taken
-	gotACK        bool                // and the acknowledgement of an answer
-	lastMessageAt time.Duration       // when the last one came, or the connection
-	legs          map[string]*callLeg // set up here and not over
-	pending       int                 // of them without a final answer
-	badRequests   int                 // requests refused for what they are
-	queued        atomic.Int32        // messages read and not handled yet
-}
-
-// NewCallers makes the caller side; local is written where a SIP message names the agent. Beyond room connections, those
-// without a set-up make room for new ones; memory is the agent's limit in bytes.
-func NewCallers(core *agent.Core, log *zap.Logger, local string, room, memory int) *Callers {
-	s := &Callers{core: core, log: log, sentBy: local, legs: map[string]*callLeg{}, byes: map[string]*callLeg{},
-		finished: map[string]uint64{}, softConnLimit: room, maxBytes: memory / 16}
+	gotMessage    bool                // a complete message was received
+	gotNonOptions bool                // one other than OPTIONS was received
+	gotCall       bool                // a set-up that could be offered was received
+	gotACK        bool                // an ACK of an answer was received
+	lastMessageAt time.Duration       // time of the last message, or of the accept
+	legs          map[string]*callLeg // calls set up on it and not finished, by Call-ID
+	pending       int                 // of them, those without a final answer
+	badRequests   int                 // invalid requests refused
+	queued        atomic.Int32        // messages received and not handled yet
+}
+
+// NewCallers returns the caller side. sentBy is the agent's address in the Via header. Above softConnLimit connections, each
+// new one evicts one without a call. memory is the agent's memory limit in bytes.
+func NewCallers(core *agent.Core, log *zap.Logger, sentBy string, softConnLimit, memory int) *Callers {
+	s := &Callers{core: core, log: log, sentBy: sentBy, legs: map[string]*callLeg{}, byes: map[string]*callLeg{},
+		finished: map[string]uint64{}, softConnLimit: softConnLimit, maxBytes: memory / 16}
 	var sweep func()
 	sweep = func() {
 		s.sweep()
@@ -219,7 +222,7 @@
 	return s
 }
 
-// Accept gives a new connection its object.
+// Accept returns the handler of a new connection.
 func (s *Callers) Accept(l *link.Conn) link.Handler {
 	c := &callerConn{callers: s, link: l, legs: map[string]*callLeg{}}
 	s.core.Post(func() {
@@ -234,13 +237,14 @@
 	return c
 }
 
-// evict makes room: it closes the connection that has been quiet longest among those that never said anything, else among
-// those without a call. Guards the usual callers' place against connections that are only held; one with a call that
-// stands is kept, for the call's release is for its caller, who may be heard nowhere else.
+// evict closes the connection that has been idle longest among those that never sent a message, else among those without a
+// call. This keeps capacity for regular callers when others only hold connections open. A connection with an established
+// call is kept, since the call's release must reach its caller, who may have no other connection.
 func (s *Callers) evict() {
 	var victim *callerConn
 	for _, c := range s.conns {
-		if len(c.legs) == 0 && c.queued.Load() == 0 && s.core.Now()-c.lastMessageAt >= minIdleToEvict && (victim == nil || victim.gotMessage && !c.gotMessage) {
+		if len(c.legs) == 0 && c.queued.Load() == 0 && s.core.Now()-c.lastMessageAt >= minIdleToEvict &&
+			(victim == nil || victim.gotMessage && !c.gotMessage) {
 			victim = c
 		}
 	}
@@ -251,31 +255,33 @@
 	}
 }
 
-// tearDown takes a connection for ended; what was open on it is given up. Guards the set-up that crosses a close of ours: read
-// but not handled yet, it would be sent on and its caller never hear of it. With nothing sent on, it comes again.
+// tearDown marks a connection as closed and abandons the set-ups pending on it. A set-up that crosses a close by the agent,
+// received but not handled yet, is then ignored. If it were sent to a far end, its caller would never receive the answer; as
+// it is not sent, the caller can safely repeat it.
 func (c *callerConn) tearDown() {
 	s := c.callers
-	if e := s.log.Check(zap.DebugLevel, "caller's connection ended"); e != nil && !c.closed {
-		e.Write(zap.Uint64("number", c.number), zap.Bool("said", c.gotMessage), zap.Int("open", c.pending), zap.Int("calls", len(c.legs)),
-			zap.Int32("ahead", c.queued.Load()), zap.Duration("quiet", s.core.Now()-c.lastMessageAt), zap.Int("wrong", c.badRequests))
+	if e := s.log.Check(zap.DebugLevel, "caller connection closed"); e != nil && !c.closed {
+		e.Write(zap.Uint64("number", c.number), zap.Bool("said", c.gotMessage), zap.Int("open", c.pending),
+			zap.Int("calls", len(c.legs)), zap.Int32("ahead", c.queued.Load()),
+			zap.Duration("quiet", s.core.Now()-c.lastMessageAt), zap.Int("wrong", c.badRequests))
 	}
 	c.closed = true
 	s.conns = slices.DeleteFunc(s.conns, func(o *callerConn) bool { return o == c })
 	s.core.Metrics.CallerConnections.Set(int64(len(s.conns)))
 	for _, id := range slices.Sorted(maps.Keys(c.legs)) {
-		if leg := c.legs[id]; leg.pending { // a call that stands belongs to no connection
+		if leg := c.legs[id]; leg.pending { // an established call belongs to no connection
 			s.removeLeg(id)
 			s.core.Abandoned(leg.call)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.byes)) {
-		if leg := s.byes[id]; leg.byeConn == c { // not confirmed: it may not have been read
+		if leg := s.byes[id]; leg.byeConn == c { // not confirmed: the caller may not have received it
 			s.sendBye(leg)
 		}
 	}
 }
 
-// SetReady tells that the agent can take calls: tests are passed from now on.
+// SetReady records that the agent can accept calls: from now on health checks pass.
 func (s *Callers) SetReady() {
 	s.ready = true
 	for _, t := range s.heldHealthChecks {
@@ -284,8 +290,8 @@
 	s.heldHealthChecks = nil
 }
 
-// Data reads messages. What cannot be read is refused where it is a request, and ends the connection: where the next
-// message starts is not known.
+// Data parses messages. A malformed one is refused if it is a request, and closes the connection, since the start of the next
+// message is not known.
 func (c *callerConn) Data(l *link.Conn, b []byte) (int, error) {
 	core := c.callers.core
 	used := 0
@@ -294,7 +300,8 @@
 		used += n
 		if err != nil {
 			core.Metrics.Malformed.Inc()
-			c.callers.log.Debug("caller cannot be read", zap.Error(err), zap.ByteString("from", b[used:min(len(b), used+160)]))
+			c.callers.log.Debug("malformed message from caller",
+				zap.Error(err), zap.ByteString("from", b[used:min(len(b), used+160)]))
 			if m != nil && m.Method != "" && m.Method != "ACK" {
 				status, reason := 400, "Bad Request"
 				if err == sip.ErrTooLong {
@@ -308,8 +315,8 @@
 		if m == nil {
 			return used, nil
 		}
-		// Guards the queue and the memory against requests by the hundred: what is beyond is refused here, at the cost of
-		// reading it.
+		// Limits the queue and the memory that a flood of messages can take: what exceeds the limits is refused here, at the
+		// cost of parsing it.
 		size := int64(n)
 		if c.queued.Add(1) > maxQueuedPerConn || c.callers.queuedBytes.Add(size) > int64(c.callers.maxBytes) {
 			core.Metrics.RateLimited.Inc()
@@ -331,10 +338,10 @@
 	c.callers.queuedBytes.Add(-size)
 }
 
-// Closed tells that the connection has ended.
+// Closed handles the end of the connection.
 func (c *callerConn) Closed(*link.Conn) { c.callers.core.PostNonBlocking(c.tearDown) }
 
-// markActive keeps the connections in the order in which they last said something.
+// markActive moves a connection to the end of conns, which is ordered by the time of the last message.
 func (c *callerConn) markActive() {
 	s := c.callers
 	if c.closed {
@@ -350,7 +357,8 @@
 
 func (c *callerConn) send(m *sip.Message) bool { return !c.closed && c.link.Send(m.Append(nil), nil) }
 
-// refuseBad refuses a request for what it is. A connection that goes on sending such is closed.
+// refuseBad refuses an invalid request. From number maxBadRequests on, each also closes the connection if no set-up on it
+// is pending.
 func (c *callerConn) refuseBad(m *sip.Message, status int, reason string, more ...sip.Header) {
 	c.send(m.Response(status, reason, "", more...))
 	if c.badRequests++; c.badRequests >= maxBadRequests && c.pending == 0 {
@@ -383,7 +391,7 @@
 			}
 		}
 	case "CANCEL":
-		if leg == nil || leg.pending && leg.conn != c { // a set-up belongs to its connection, a call that stands to none
+		if leg == nil || leg.pending && leg.conn != c { // a set-up belongs to its connection, an established call to none
 			s.answerUnknownCall(c, id, m)
 			return
 		}
@@ -397,12 +405,13 @@
 			leg.conn.send(leg.invite.Response(487, "Request Terminated", ""))
 			return
 		}
-		// It crossed the answer. A caller that took the answer acknowledges it; from one that did not, nothing more
-		// comes and the call must not stand for ever.
+		// The CANCEL crossed the answer. A caller that accepted the answer sends an ACK; one that did not sends nothing
+		// more, and the call must not stay established forever.
 		if !leg.acked {
 			s.core.After(ackTimeout, func() {
 				if k := leg.call; s.legs[id] == leg && !leg.acked && leg.bye == nil && k.Established() {
-					// Guards a caller that did take the answer, and whose word of it has not come: to it the call would stand.
+					// The caller may have accepted the answer, its ACK being lost or late. Without a BYE it would keep the call
+					// established.
 					s.core.Hangup(k, 16)
 					s.Release(k, 16)
 				}
@@ -427,7 +436,7 @@
 	}
 }
 
-// answerUnknownCall answers a request about a call that is not there: one that is just over was told so, any other never was.
+// answerUnknownCall answers a request for a call that does not exist: with 200 if the call is finished, else with 481.
 func (s *Callers) answerUnknownCall(c *callerConn, id string, m *sip.Message) {
 	if _, ok := s.finished[id]; ok {
 		s.core.Metrics.Duplicates.Inc()
@@ -438,7 +447,7 @@
 	c.send(m.Response(481, "Call/Transaction Does Not Exist", ""))
 }
 
-// handleOptions answers a handleOptions: passed once the agent is ready.
+// handleOptions answers a health check: it passes once the agent is ready, and fails during a drain.
 func (s *Callers) handleOptions(c *callerConn, m *sip.Message) {
 	answered := false
 	answer := func() {
@@ -460,7 +469,7 @@
 	s.core.After(healthCheckTimeout, answer)
 }
 
-// parseCause reads Q.850;parseCause=N of a Reason header (RFC 3326).
+// parseCause reads Q.850;cause=N of a Reason header (RFC 3326). Without a cause it returns 16, normal clearing.
 func parseCause(reason string) int {
 	for _, p := range strings.Split(reason, ";") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(p), "cause="); ok {
@@ -474,19 +483,19 @@
 
 func (s *Callers) handleInvite(c *callerConn, id string, m *sip.Message) {
 	if c.closed {
-		return // the caller closed the connection behind the set-up: its end was told before this was read
+		return // the caller closed the connection after the set-up, and the close was handled first
 	}
-	// Guards against a set-up that comes again: it must not run twice, nor get a second answer, and the id of a call may
-	// serve nobody else. A copy on the connection of the first has its answer in the first's; any other is refused.
+	// A repeated set-up must not run twice or get a second answer, and a Call-ID must not be used for another call. A copy on
+	// the connection of the first set-up is ignored, since the first one's answer serves both; any other is refused.
 	leg := s.legs[id]
-	on, done := s.finished[id]
+	connNumber, finished := s.finished[id]
 	switch {
-	case done && on == c.number, leg != nil && leg.conn == c &&
+	case finished && connNumber == c.number, leg != nil && leg.conn == c &&
 		(!leg.pending || leg.call.Description == m.Body && leg.call.Number == m.User()):
 		s.core.Metrics.Duplicates.Inc()
 		return
 	case leg != nil && leg.pending && leg.conn == c:
-		// Two requests of one id on one connection: no answer to either could be told from the other's.
+		// Two set-ups with one Call-ID on one connection: their answers could not be told apart.
 		s.core.Metrics.Malformed.Inc()
 		s.finish(id)
 		s.core.Abandoned(leg.call)
@@ -494,7 +503,7 @@
 		c.link.CloseAfterFlush()
 		c.tearDown()
 		return
-	case leg != nil || done:
+	case leg != nil || finished:
 		s.core.Metrics.Duplicates.Inc()
 		c.refuseBad(m, 482, "Loop Detected")
 		return
@@ -502,7 +511,7 @@
 	k, err := s.parseInvite(id, m)
 	if err != nil {
 		s.core.Metrics.Malformed.Inc()
-		s.log.Debug("set-up refused", zap.Error(err))
+		s.log.Debug("invalid set-up refused", zap.Error(err))
 		c.refuseBad(m, 400, "Bad Request")
 		return
 	}
@@ -529,24 +538,24 @@
 	s.core.Offer(k)
 }
 
-// validCallID tells whether an id is one that this protocol has.
+// validCallID reports whether an id has the form that this protocol uses: 16 hex digits.
 func validCallID(id string) bool {
 	_, err := strconv.ParseUint(id, 16, 64)
 	return err == nil && len(id) == 16
 }
 
 func (s *Callers) parseInvite(id string, m *sip.Message) (*agent.Call, error) {
-	// Cloned, since they outlive the message, whose strings are parts of one.
+	// Cloned, since they outlive the message, whose strings all share one buffer.
 	k := &agent.Call{ID: strings.Clone(id), Number: strings.Clone(m.User()), Description: strings.Clone(m.Body),
 		Caller: s, Dest: -1, Via: -1}
-	// Guards every other call on a connection to a far end: what a far end cannot read makes it close the connection.
+	// These checks protect the other set-ups on a connection to a far end, which closes it when it cannot parse a line.
 	switch {
 	case !validCallID(id):
 		return nil, fmt.Errorf("Call-ID %q is not 16 hex digits", id)
 	case !utf8.ValidString(k.Number) || !utf8.ValidString(k.Description):
-		return nil, fmt.Errorf("the number or the description is no text")
+		return nil, fmt.Errorf("the number or the description is not valid UTF-8")
 	case len(k.Description)+len(k.Number) > farend.MaxLine/8 && len(launchLine(k, "", 0).Append(nil)) > farend.MaxLine-64:
-		return nil, fmt.Errorf("the description is too long to be passed on")
+		return nil, fmt.Errorf("the description is too long to be sent to a far end")
 	}
 	if k.Class = s.core.ClassIndex(m.Get("P-Kind")); k.Class < 0 {
 		return nil, fmt.Errorf("class %q is not in the settings", m.Get("P-Kind"))
@@ -556,7 +565,7 @@
 	if v := m.Get("P-Time-Left"); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(ms >= 0 && ms < 1e9) {
-			return nil, fmt.Errorf("P-Time-Left %q", v)
+			return nil, fmt.Errorf("invalid P-Time-Left %q", v)
 		}
 		k.TimeLeft = time.Duration(ms * float64(time.Millisecond))
 	}
@@ -571,14 +580,14 @@
 			continue
 		}
 		if err != nil || !(v >= -1e6 && v <= 1e6) {
-			return nil, fmt.Errorf("P-Path %q", part)
+			return nil, fmt.Errorf("invalid P-Path field %q", part)
 		}
 		switch name {
 		case "dest":
 			k.Dest = int(v)
 		case "width":
 			if v <= 0 {
-				return nil, fmt.Errorf("P-Path %q", part)
+				return nil, fmt.Errorf("invalid P-Path field %q", part)
 			}
 			k.Width = v
 		case "via":
@@ -599,7 +608,7 @@
 	return k, nil
 }
 
-// Answer tells the caller that its call stands.
+// Answer notifies the caller that its call is established.
 func (s *Callers) Answer(k *agent.Call, description string) {
 	leg := k.Leg.(*callLeg)
 	s.clearPending(leg)
@@ -607,7 +616,7 @@
 	leg.conn.closeIfIdle()
 }
 
-// Refuse tells the caller that its call does not stand, and when to come back where the settings allow it.
+// Refuse notifies the caller that its call was refused or has failed, and when to retry if the settings allow that.
 func (s *Callers) Refuse(k *agent.Call, failed bool, pause time.Duration) {
 	leg := k.Leg.(*callLeg)
 	s.finish(k.ID)
@@ -623,7 +632,8 @@
 	leg.conn.closeIfIdle()
 }
 
-// Release tells the caller that its call is over. It is sent until confirmed, on whatever connection there is.
+// Release notifies the caller that its call has ended. The BYE is resent, on any connection available,
+// until it is confirmed or byeTTL has passed.
 func (s *Callers) Release(k *agent.Call, cause int) {
 	leg := k.Leg.(*callLeg)
 	s.branch++
@@ -642,7 +652,7 @@
 		bye.Headers = append(bye.Headers, sip.Header{Name: "From", Value: to}, sip.Header{Name: "To", Value: from})
 	}
 	leg.bye, leg.releasedAt = bye.Append(nil), s.core.Now()
-	leg.call = &agent.Call{ID: k.ID} // what the call held is over
+	leg.call = &agent.Call{ID: k.ID} // the rest of the call's state is not needed any longer
 	s.byes[k.ID] = leg
 	s.sendBye(leg)
 }
@@ -663,20 +673,20 @@
 		}
 	}
 	if last != nil && !last.closed {
-		leg.byeConn = last // there is no other
+		leg.byeConn = last // no other connection is available
 	}
 }
 
-// How sure it is that a connection leads to the callers.
+// How certain it is that a connection leads to the callers, in rising order.
 const (
-	rankCheckOnly = iota // it only tests, and is closed behind the answer with the rest unread
-	rankUnknown          // it has said nothing, nothing for a while, or nothing that tells
-	rankCaller           // it has brought a call that could be taken
-	rankACKed            // it has acknowledged an answer
+	rankCheckOnly = iota // it has sent health checks only; the peer closes it after the answer and reads nothing else
+	rankUnknown          // it has sent nothing, nothing recently, or nothing that identifies a caller
+	rankCaller           // it has sent a set-up that could be offered
+	rankACKed            // it has sent an ACK of an answer
 )
 
-// rank guards releases against connections that others hold: one that sends all sorts of things reads a release, and nobody
-// else hears of it.
+// rank rates a connection for sending a release. Without this, a release could go to a connection of somebody else, who sends
+// arbitrary messages and reads the release, while its caller never receives it.
 func (c *callerConn) rank() int {
 	switch {
 	case c.gotACK:
@@ -689,18 +699,18 @@
 	return rankCheckOnly
 }
 
-// resendByes sends the releases again that have not surely reached the callers: the connection that carried them has ended, or is
-// not known to be theirs and did not confirm.
+// resendByes resends the releases that may not have reached the callers: the connection that they were sent on has closed, or
+// is not known to be a caller's, and they are not confirmed.
 func (s *Callers) resendByes() {
 	for _, id := range slices.Sorted(maps.Keys(s.byes)) {
 		leg := s.byes[id]
-		if on := leg.byeConn; on == nil || on.closed || on != leg.conn && on.rank() < rankACKed {
+		if c := leg.byeConn; c == nil || c.closed || c != leg.conn && c.rank() < rankACKed {
 			s.sendBye(leg)
 		}
 	}
 }
 
-// sweep sends releases again whose connection closed before they were confirmed, or that found none.
+// sweep drops releases that were not confirmed in time, resends the others where needed, and closes idle connections.
 func (s *Callers) sweep() {
 	for _, id := range slices.Sorted(maps.Keys(s.byes)) {
 		if s.core.Now()-s.byes[id].releasedAt > byeTTL {
@@ -709,7 +719,7 @@
 	}
 	s.resendByes()
 	for _, c := range slices.Clone(s.conns) {
-		// Guards the descriptors against those that open a connection, or begin a message, and say nothing more.
+		// Frees the file descriptors of peers that open a connection, or begin a message, and send nothing more.
 		if !c.gotMessage && s.core.Now()-c.lastMessageAt > readTimeout || c.link.StalledFor() > readTimeout {
 			s.core.Metrics.CallersTimedOut.Inc()
 			c.link.Close()
