--- a/internal/platform/callers_test.go
+++ b/internal/platform/callers_test.go
@@ -21,16 +21,16 @@
 	"tinbeam/internal/sip"
 )
 
-func side() *Callers { return sideOn(agent.SystemClock(), 100) }
+func newCallers() *Callers { return newCallersWithClock(agent.SystemClock(), 100) }
 
-func sideOn(clock func() time.Duration, room int) *Callers {
+func newCallersWithClock(clock func() time.Duration, softConnLimit int) *Callers {
 	set := tinbeam.Settings{Classes: []tinbeam.Class{{Name: "check", AnswerTarget: 5 * time.Second, HardLimit: 9 * time.Second}}}
 	core := agent.New(agent.NewLoop(clock), set, 1, 64<<20, metrics.New(), zap.NewNop(), nil)
-	return NewCallers(core, zap.NewNop(), "here", room, 64<<20)
+	return NewCallers(core, zap.NewNop(), "here", softConnLimit, 64<<20)
 }
 
-// dialer opens the side to callers, and gives what connects one.
-func dialer(t *testing.T, s *Callers) func() net.Conn {
+// listen starts a listener for s and returns a function that connects a caller to it.
+func listen(t *testing.T, s *Callers) func() net.Conn {
 	l, err := link.Listen("127.0.0.1:0", 10, 64<<10, s.Accept)
 	if err != nil {
 		t.Fatal(err)
@@ -47,129 +47,130 @@
 	}
 }
 
-func invite(id, kind, left, path, body string) *sip.Message {
+func newInvite(id, kind, left, path, body string) *sip.Message {
 	return &sip.Message{Method: "INVITE", URI: "sip:7f3a9c21e0b4d655@net", Body: body, Headers: []sip.Header{
 		{Name: "Call-ID", Value: id}, {Name: "P-Kind", Value: kind}, {Name: "P-Time-Left", Value: left},
 		{Name: "P-Path", Value: path}}}
 }
 
-// What a far end could not read would make it close a connection that others' calls are on, and a figure that is none
-// would be reckoned with.
-func TestSetUpsThatMakeNoSense(t *testing.T) {
+// An invalid set-up must be refused. If it were sent on, a far end that cannot parse the line would close a connection that
+// carries other calls, and an invalid number would enter the decision module's calculations.
+func TestInvalidSetUpsAreRefused(t *testing.T) {
 	const id, path = "9b1f03aa5c7e2d41", "dest:1;width:1;via:-1"
 	for _, c := range []struct {
 		m  *sip.Message
 		ok bool
 	}{
-		{invite(id, "check", "1500", path, "v=0"), true},
-		{invite(id, "check", "1500", path, strings.Repeat("x", 15<<10)), true},
-		{invite(id, "check", "1500", path, strings.Repeat("\r\n", 7<<10)), false}, // longer as JSON than a line may be
-		{invite(id, "check", "1500", path, "v=\xff"), false},
-		{invite("", "check", "1500", path, "v=0"), false},
-		{invite("9b1f03aa5c7e2d4", "check", "1500", path, "v=0"), false},
-		{invite("9b1f03aa5c7e2d4g", "check", "1500", path, "v=0"), false},
-		{invite(id, "gold", "1500", path, "v=0"), false},
-		{invite(id, "check", "NaN", path, "v=0"), false},
-		{invite(id, "check", "-1", path, "v=0"), false},
-		{invite(id, "check", "1e300", path, "v=0"), false},
-		{invite(id, "check", "1500", "dest:-1", "v=0"), false},
-		{invite(id, "check", "1500", "dest:NaN", "v=0"), false},
-		{invite(id, "check", "1500", "dest:1;width:0", "v=0"), false},
-		{invite(id, "check", "1500", "dest:1;width:Inf", "v=0"), false},
+		{newInvite(id, "check", "1500", path, "v=0"), true},
+		{newInvite(id, "check", "1500", path, strings.Repeat("x", 15<<10)), true},
+		{newInvite(id, "check", "1500", path, strings.Repeat("\r\n", 7<<10)), false}, // as JSON longer than the maximum line
+		{newInvite(id, "check", "1500", path, "v=\xff"), false},
+		{newInvite("", "check", "1500", path, "v=0"), false},
+		{newInvite("9b1f03aa5c7e2d4", "check", "1500", path, "v=0"), false},
+		{newInvite("9b1f03aa5c7e2d4g", "check", "1500", path, "v=0"), false},
+		{newInvite(id, "gold", "1500", path, "v=0"), false},
+		{newInvite(id, "check", "NaN", path, "v=0"), false},
+		{newInvite(id, "check", "-1", path, "v=0"), false},
+		{newInvite(id, "check", "1e300", path, "v=0"), false},
+		{newInvite(id, "check", "1500", "dest:-1", "v=0"), false},
+		{newInvite(id, "check", "1500", "dest:NaN", "v=0"), false},
+		{newInvite(id, "check", "1500", "dest:1;width:0", "v=0"), false},
+		{newInvite(id, "check", "1500", "dest:1;width:Inf", "v=0"), false},
 	} {
-		if _, err := side().parseInvite(c.m.Get("Call-ID"), c.m); (err == nil) != c.ok {
+		if _, err := newCallers().parseInvite(c.m.Get("Call-ID"), c.m); (err == nil) != c.ok {
 			t.Errorf("%.200q: %v", c.m.Append(nil), err)
 		}
 	}
 }
 
-// Guards the queue: with nothing handled, what is beyond the bound of a connection is refused at the door.
-func TestFlood(t *testing.T) {
-	s := side()
-	c := dialer(t, s)()
-	const beyond = 40
+// A flood of messages must not fill the queue: with none handled, those beyond the limit of a connection are refused when
+// they are parsed.
+func TestQueuedMessagesPerConnection(t *testing.T) {
+	s := newCallers()
+	c := listen(t, s)()
+	const excess = 40
 	var b []byte
-	for i := 0; i < maxQueuedPerConn+beyond; i++ {
-		b = invite(fmt.Sprintf("%016x", i), "check", "1500", "dest:1", "v=0").Append(b)
+	for i := 0; i < maxQueuedPerConn+excess; i++ {
+		b = newInvite(fmt.Sprintf("%016x", i), "check", "1500", "dest:1", "v=0").Append(b)
 	}
 	if _, err := c.Write(b); err != nil {
 		t.Fatal(err)
 	}
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	var got []byte
-	for buf := make([]byte, 4096); bytes.Count(got, []byte("SIP/2.0 503 ")) < beyond; {
+	for buf := make([]byte, 4096); bytes.Count(got, []byte("SIP/2.0 503 ")) < excess; {
 		n, err := c.Read(buf)
 		if err != nil {
 			t.Fatalf("%v after %q", err, got)
 		}
 		got = append(got, buf[:n]...)
 	}
-	if n := s.core.Queued(); n != maxQueuedPerConn+1 { // and the connection's own event
-		t.Errorf("%d events wait, want %d", n, maxQueuedPerConn+1)
+	if n := s.core.Queued(); n != maxQueuedPerConn+1 { // one more for the connection's accept
+		t.Errorf("%d events are queued, want %d", n, maxQueuedPerConn+1)
 	}
 }
 
-// Room is made by a connection that nothing is lost with: not by one with a call that stands, whose release must reach its
-// caller, and not by one that has just come, whose set-up may be on its way.
+// Only a connection that can be closed without loss is evicted: not one with an established call, whose release must reach
+// its caller, and not one just accepted, whose set-up may be on its way.
 func TestEvict(t *testing.T) {
 	now := time.Hour
-	s := sideOn(func() time.Duration { return now }, 2)
-	connect := dialer(t, s)
-	came := uint64(0)
+	s := newCallersWithClock(func() time.Duration { return now }, 2)
+	connect := listen(t, s)
+	accepted := uint64(0)
 	dial := func() net.Conn {
 		c := connect()
-		for came++; s.accepted < came; time.Sleep(time.Millisecond) {
+		for accepted++; s.accepted < accepted; time.Sleep(time.Millisecond) {
 			s.core.Step()
 		}
 		return c
 	}
 	dial()
-	stands := s.conns[0]
-	stands.legs["9b1f03aa5c7e2d41"] = &callLeg{conn: stands}
-	quiet := dial()
+	established := s.conns[0]
+	established.legs["9b1f03aa5c7e2d41"] = &callLeg{conn: established}
+	idle := dial()
 	now += minIdleToEvict
 	dial()
-	if len(s.conns) != 2 || s.conns[0] != stands || s.core.Metrics.CallersEvicted.Value() != 1 {
-		t.Errorf("%d connections, %d closed", len(s.conns), s.core.Metrics.CallersEvicted.Value())
+	if len(s.conns) != 2 || s.conns[0] != established || s.core.Metrics.CallersEvicted.Value() != 1 {
+		t.Errorf("%d connections, %d evicted", len(s.conns), s.core.Metrics.CallersEvicted.Value())
 	}
-	quiet.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if n, err := quiet.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %d, %v from the one that made room", n, err)
+	idle.SetReadDeadline(time.Now().Add(20 * time.Second))
+	if n, err := idle.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("read %d, %v from the evicted connection", n, err)
 	}
-	dial() // nobody can make room for it
+	dial() // no connection can be evicted for it
 	if len(s.conns) != 3 {
 		t.Errorf("%d connections, want 3", len(s.conns))
 	}
 }
 
-// A set-up that crosses a close of ours is not handled: sent on, its caller would never hear of it.
-func TestSetUpBehindAClose(t *testing.T) {
-	s := side()
-	c := dialer(t, s)()
+// A set-up that crosses a close by the agent must not be handled: its caller would never receive the answer.
+func TestSetUpAfterClose(t *testing.T) {
+	s := newCallers()
+	c := listen(t, s)()
 	for len(s.conns) == 0 {
 		s.core.Step()
 		time.Sleep(time.Millisecond)
 	}
 	s.conns[0].tearDown()
-	c.Write(invite("9b1f03aa5c7e2d41", "check", "1500", "dest:1", "v=0").Append(nil))
+	c.Write(newInvite("9b1f03aa5c7e2d41", "check", "1500", "dest:1", "v=0").Append(nil))
 	for s.core.Queued() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.core.Step()
 	if s.core.Metrics.Offered.Value() != 0 || len(s.legs) != 0 {
-		t.Error("it was handled")
+		t.Error("the set-up was handled")
 	}
 }
 
-// Callers that are sent away are served until nothing is open on their connection; the last ones are refused and then
-// answered, so that every connection comes to its end. Taken again in between, they stay.
-func TestSentAway(t *testing.T) {
+// During a drain callers are served until no set-up is pending on their connection. At the end new set-ups are refused and
+// pending ones failed, so that every connection can be closed. If the drain is cancelled, the connections stay open.
+func TestDrain(t *testing.T) {
 	now := time.Hour
-	s := sideOn(func() time.Duration { return now }, 10)
-	connect := dialer(t, s)
-	pace := &DrainSchedule{CloseAfter: time.Second, RefuseAfter: 2 * time.Second, EndAfter: 3 * time.Second}
+	s := newCallersWithClock(func() time.Duration { return now }, 10)
+	connect := listen(t, s)
+	schedule := &DrainSchedule{CloseAfter: time.Second, RefuseAfter: 2 * time.Second, EndAfter: 3 * time.Second}
 	var peers []net.Conn
-	open := func(n int) { // and say something, else they count as silent
+	open := func(n int) { // and marks them as having sent a message, else they would be closed as idle
 		for i := 0; i < n; i++ {
 			peers = append(peers, connect())
 			for len(s.conns) < i+1 {
@@ -185,41 +186,42 @@
 		s.core.Step()
 	}
 	offer := func(c *callerConn, id string) {
-		s.handleInvite(c, id, invite(id, "check", "9000", "dest:1", "v=0"))
+		s.handleInvite(c, id, newInvite(id, "check", "9000", "dest:1", "v=0"))
 	}
-	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
+	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}},
+		unresponsive{})
 	open(3)
-	busy, last, quiet := s.conns[0], s.conns[1], s.conns[2]
-	s.Drain(pace)
+	busy, last, idle := s.conns[0], s.conns[1], s.conns[2]
+	s.Drain(schedule)
 	pass(500 * time.Millisecond)
 	s.Drain(nil)
 	pass(5 * time.Second)
-	if quiet.closed || s.drainClosing {
-		t.Fatal("callers that are taken again were sent away")
+	if idle.closed || s.drainClosing {
+		t.Fatal("a cancelled drain closed a connection")
 	}
-	s.Drain(pace)
+	s.Drain(schedule)
 	pass(500 * time.Millisecond)
 	offer(busy, "9b1f03aa5c7e2d41")
 	offer(last, "9b1f03aa5c7e2d42")
-	if quiet.closed {
-		t.Error("closed too soon")
+	if idle.closed {
+		t.Error("idle connection closed before CloseAfter")
 	}
 	pass(500 * time.Millisecond)
-	if !quiet.closed || busy.closed || last.closed {
-		t.Errorf("closed: %t %t %t", quiet.closed, busy.closed, last.closed)
+	if !idle.closed || busy.closed || last.closed {
+		t.Errorf("closed: idle %t, busy %t, last %t", idle.closed, busy.closed, last.closed)
 	}
 	s.core.Fail(s.legs["9b1f03aa5c7e2d41"].call)
 	if !busy.closed {
-		t.Error("not closed behind its answer")
+		t.Error("not closed after its last answer")
 	}
 	pass(time.Second)
 	offer(last, "9b1f03aa5c7e2d43")
 	if s.legs["9b1f03aa5c7e2d43"] != nil {
-		t.Error("a set-up was taken when no more should be")
+		t.Error("a set-up was accepted after RefuseAfter")
 	}
 	pass(time.Second)
 	if len(s.conns) != 0 || s.core.PendingCalls() != 0 {
-		t.Errorf("%d connections, %d answers owed", len(s.conns), s.core.PendingCalls())
+		t.Errorf("%d connections, %d calls pending", len(s.conns), s.core.PendingCalls())
 	}
 	got, err := io.ReadAll(peers[1])
 	if n := bytes.Count(got, []byte("SIP/2.0 5")); n != 2 || err != nil {
@@ -227,32 +229,33 @@
 	}
 }
 
-// nowhere is a far side that answers nothing, and keeps the last attempt for the test where it has room.
-type nowhere struct{ last **agent.Attempt }
+// unresponsive is a far-end side that never answers. It stores the latest attempt in last, if that is set.
+type unresponsive struct{ last **agent.Attempt }
 
-func (n nowhere) SetUp(a *agent.Attempt) {
+func (n unresponsive) SetUp(a *agent.Attempt) {
 	if n.last != nil {
 		*n.last = a
 	}
 }
-func (nowhere) Cancel(*agent.Attempt)       {}
-func (nowhere) Release(*agent.Attempt, int) {}
-func (nowhere) Probe(uint32)                {}
+func (unresponsive) Cancel(*agent.Attempt)       {}
+func (unresponsive) Release(*agent.Attempt, int) {}
+func (unresponsive) Probe(uint32)                {}
 
-// A release whose connection has ended goes to one that brings calls, not to one that tests and is gone behind the answer; it
-// goes on to the next as long as it is not sure that it has reached the callers.
+// A release whose connection has closed goes to a connection that brings calls, not to one of a health checker, which closes
+// it after the answer. It is resent on the next one until it is certain to have reached the callers.
 func TestReleaseReachesCallers(t *testing.T) {
 	now := time.Hour
-	s := sideOn(func() time.Duration { return now }, 10)
-	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}}, nowhere{})
-	connect := dialer(t, s)
+	s := newCallersWithClock(func() time.Duration { return now }, 10)
+	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}},
+		unresponsive{})
+	connect := listen(t, s)
 	for i := 1; i <= 3; i++ {
 		connect()
 		for len(s.conns) < i {
 			s.core.Step()
 		}
 	}
-	first, other, tester := s.conns[0], s.conns[1], s.conns[2]
+	first, other, checker := s.conns[0], s.conns[1], s.conns[2]
 	for _, c := range slices.Clone(s.conns) {
 		c.handleMessage(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f01"}}})
 	}
@@ -261,44 +264,45 @@
 	on := func(what string, want *callerConn) {
 		t.Helper()
 		if leg.byeConn != want {
-			t.Errorf("%s: it is on %+v", what, leg.byeConn)
+			t.Errorf("%s: the release was sent on %+v", what, leg.byeConn)
 		}
 	}
 	s.resendByes()
-	on("only testers", nil)
-	other.handleMessage(invite("9b1f03aa5c7e2d42", "none", "1", "dest:1", ""))
-	on("a set-up that makes no sense", nil)
+	on("only health checkers", nil)
+	other.handleMessage(newInvite("9b1f03aa5c7e2d42", "none", "1", "dest:1", ""))
+	on("after an invalid set-up", nil)
 	s.resendByes()
-	on("for want of a better one", other)
-	other.handleMessage(invite("9b1f03aa5c7e2d43", "check", "1500", "dest:1", ""))
-	on("one that brings a call", other)
-	first.handleMessage(invite("9b1f03aa5c7e2d44", "check", "1500", "dest:1", ""))
-	on("not confirmed by the first", first)
+	on("no better connection", other)
+	other.handleMessage(newInvite("9b1f03aa5c7e2d43", "check", "1500", "dest:1", ""))
+	on("a connection that brings a call", other)
+	first.handleMessage(newInvite("9b1f03aa5c7e2d44", "check", "1500", "dest:1", ""))
+	on("not confirmed by the first one", first)
 	k := s.legs["9b1f03aa5c7e2d43"].call
 	s.Answer(k, "v=0")
 	other.handleMessage(&sip.Message{Method: "ACK", Headers: []sip.Header{{Name: "Call-ID", Value: k.ID}}})
-	on("one that takes answers", other)
+	on("a connection that acknowledges answers", other)
 	s.resendByes()
-	on("that is sure", other)
+	on("a certain connection is kept", other)
 	other.tearDown()
-	on("that has ended", first)
-	tester.handleMessage(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f02"}}})
+	on("the certain connection has closed", first)
+	checker.handleMessage(&sip.Message{Method: "OPTIONS", Headers: []sip.Header{{Name: "Call-ID", Value: "0000000000000f02"}}})
 	first.tearDown()
-	on("only a tester", nil)
+	on("only a health checker", nil)
 }
 
-// A caller whose CANCEL crosses the answer and who acknowledges nothing is told that the call is over: it may have taken it.
-func TestCancelCrossesTheAnswer(t *testing.T) {
+// A caller whose CANCEL crosses the answer and who sends no ACK must be notified that the call has ended: it may have accepted
+// the answer.
+func TestCancelCrossesAnswer(t *testing.T) {
 	now := time.Hour
-	s := sideOn(func() time.Duration { return now }, 10)
+	s := newCallersWithClock(func() time.Duration { return now }, 10)
 	var out *agent.Attempt
 	s.core.UpdateFarEnds(1, tinbeam.ListCached, []tinbeam.Entry{{Switch: 7, ExchangeNumber: 1, Mode: tinbeam.Ready}},
-		nowhere{&out})
-	peer := dialer(t, s)()
+		unresponsive{&out})
+	peer := listen(t, s)()
 	for len(s.conns) < 1 {
 		s.core.Step()
 	}
-	c, m := s.conns[0], invite("9b1f03aa5c7e2d41", "check", "9000", "dest:1", "v=0")
+	c, m := s.conns[0], newInvite("9b1f03aa5c7e2d41", "check", "9000", "dest:1", "v=0")
 	c.handleMessage(m)
 	s.core.Answered(out, "v=0")
 	m.Method = "CANCEL"
@@ -314,8 +318,9 @@
 		}
 		got = append(got, buf[:n]...)
 	}
-	c.handleMessage(&sip.Message{Status: 481, Headers: []sip.Header{{Name: "Call-ID", Value: m.Get("Call-ID")}, {Name: "CSeq", Value: "1 BYE"}}})
+	c.handleMessage(&sip.Message{Status: 481, Headers: []sip.Header{
+		{Name: "Call-ID", Value: m.Get("Call-ID")}, {Name: "CSeq", Value: "1 BYE"}}})
 	if s.OpenCalls() != 0 || s.core.OpenCalls() != 0 {
-		t.Errorf("%d and %d calls are held", s.OpenCalls(), s.core.OpenCalls())
+		t.Errorf("%d calls open at the front end, %d in the core", s.OpenCalls(), s.core.OpenCalls())
 	}
 }
