--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	ackTimeout       = time.Second // a call whose answer crossed a CANCEL is released if no ACK arrives in this time
-	byeRetryInterval = 300 * time.Millisecond
-	byeTTL           = 8 * time.Second  // a release not confirmed within this time is dropped
-	finishedTTL      = 30 * time.Second // how long the Call-ID of a finished call is remembered
-	maxFinished      = 20000
+	ackTimeout       = time.Second            // a call whose answer crossed a CANCEL is released if no ACK arrives in this time
+	byeRetryInterval = 300 * time.Millisecond // how often the releases and the idle connections are checked
+	byeTTL           = 8 * time.Second        // a release not confirmed within this time is dropped
+	finishedTTL      = 30 * time.Second       // how long the Call-ID of a finished call is remembered
+	maxFinished      = 20000                  // finished calls remembered at most
 
 	// Limits of one connection. Regular callers stay far below them, and they are the same for every caller.
 	readTimeout        = 2 * time.Second        // from the accept, or the first byte of a message, until the message is complete
@@ -41,8 +41,8 @@
 type Callers struct {
 	core             *agent.Core
 	log              *zap.Logger
-	sentBy           string
-	ready            bool
+	sentBy           string              // host and port in the Via header
+	ready            bool                // health checks pass, unless a drain is in progress
 	legs             map[string]*callLeg // by Call-ID
 	conns            []*callerConn       // open, in the order of their last message
 	stopping         bool                // the agent is about to exit and refuses new calls
@@ -58,7 +58,7 @@
 	accepted         uint64              // connections accepted so far
 	finishedOrder    []finishedCall      // the finished calls, oldest first
 	heldHealthChecks []func()            // answer the health checks received before the agent was ready
-	branch           uint64
+	branch           uint64              // number in the Via branch of the last BYE sent
 }
 
 // callLeg is this front end's state of a call, kept in Call.Leg.
@@ -67,11 +67,11 @@
 	conn       *callerConn
 	invite     *sip.Message // the INVITE, whose headers the answers copy
 	size       int
-	pending    bool // it has no final answer yet
-	acked      bool
-	bye        []byte
-	byeConn    *callerConn
-	releasedAt time.Duration
+	pending    bool          // it has no final answer yet
+	acked      bool          // an ACK of its answer was received
+	bye        []byte        // the BYE, once the call was released towards the caller
+	byeConn    *callerConn   // the connection that the BYE was last sent on; nil: none
+	releasedAt time.Duration // when the release began
 }
 
 type finishedCall struct {
@@ -333,6 +333,7 @@
 	}
 }
 
+// dequeued takes a message off the counts of queued messages.
 func (c *callerConn) dequeued(size int64) {
 	c.queued.Add(-1)
 	c.callers.queuedBytes.Add(-size)
@@ -657,6 +658,8 @@
 	s.sendBye(leg)
 }
 
+// sendBye sends a BYE on the connection of the call's set-up. If that is closed it takes the connection of the highest rank above
+// rankCheckOnly, and of these the most recently active one, but the one that carried the BYE last only if there is no other.
 func (s *Callers) sendBye(leg *callLeg) {
 	if c := leg.conn; !c.closed && c.link.Send(leg.bye, nil) {
 		leg.byeConn = c
--- a/internal/platform/changelog_client.go
+++ b/internal/platform/changelog_client.go
@@ -23,10 +23,10 @@
 	farEnds     *FarEnds
 	log         *zap.Logger
 	addr        string
-	seq         uint64
+	seq         uint64 // sequence number of the last event applied
 	conn        *changeLogConn
 	dialing     *changeLogConn // the dial in progress; the result of an earlier dial is discarded
-	lastFrameAt time.Duration
+	lastFrameAt time.Duration  // time of the last frame, or of the connect
 }
 
 type changeLogConn struct {
--- a/internal/platform/farends.go
+++ b/internal/platform/farends.go
@@ -49,17 +49,17 @@
 	addr           string
 	addrChanged    bool // the last list event changed the address
 	mode           tinbeam.Mode
-	onlineSince    time.Duration
+	onlineSince    time.Duration // start of its process, as far as listed
 	conns          []*farConn
 	dialing        bool
-	redialAt       time.Duration
-	readyReported  bool // its group's state was received, or no connection could be opened
-	lastReceivedAt time.Duration
-	checkPending   bool
+	redialAt       time.Duration             // no dial starts before this time
+	readyReported  bool                      // its group's state was received, or no connection could be opened
+	lastReceivedAt time.Duration             // time of the last line, or of the last connection opened
+	checkPending   bool                      // a health check was sent, and nothing received since
 	attempts       map[string]*agent.Attempt // pending or established, by Call.ID
 	waiting        []*agent.Attempt          // attempts waiting for a connection
 	queuedReleases [][]byte                  // releases waiting for a connection
-	checkSentAt    map[string]time.Duration
+	checkSentAt    map[string]time.Duration  // send times of the check lines without an answer, by UID
 }
 
 // farConn is one connection. Its methods Data and Closed run outside the event loop and only post to it.
@@ -553,7 +553,7 @@
 }
 
 // noteMissedState counts a group state received on another connection. Each state is sent on all connections at nearly the
-// same time: the latest may have been received here first, but not the one before it.
+// same time. Of two states counted on every other connection, one may have been received here first, but not both.
 func (c *farConn) noteMissedState(now time.Duration) {
 	if c.missedStates++; c.missedStates == 2*(len(c.farEnd.conns)-1) {
 		c.missLimitAt = now
