--- /dev/null
+++ b/internal/platform/changelog_client.go
@@ -0,0 +1,167 @@
+package platform
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"tinbeam"
+	"tinbeam/internal/agent"
+	"tinbeam/internal/changelog"
+	"tinbeam/internal/link"
+)
+
+const (
+	changeLogIdleTimeout   = 2300 * time.Millisecond // the change log sends an empty frame every second
+	changeLogDialTimeout   = time.Second
+	changeLogRetryInterval = 200 * time.Millisecond
+)
+
+// ChangeLogClient follows the change log and passes its events on to the far-end side.
+type ChangeLogClient struct {
+	core        *agent.Core
+	farEnds     *FarEnds
+	log         *zap.Logger
+	addr        string
+	seq         uint64 // sequence number of the last event applied
+	conn        *changeLogConn
+	dialing     *changeLogConn // the dial in progress; the result of an earlier dial is discarded
+	lastFrameAt time.Duration  // time of the last frame, or of the connect
+}
+
+type changeLogConn struct {
+	client *ChangeLogClient
+	link   *link.Conn
+	closed bool
+}
+
+// NewChangeLogClient applies the initial events and follows the change log from there. With an empty address it does not
+// connect.
+func NewChangeLogClient(core *agent.Core, farEnds *FarEnds, log *zap.Logger,
+	addr string, seq uint64, initial []changelog.Event) *ChangeLogClient {
+	cl := &ChangeLogClient{core: core, farEnds: farEnds, log: log, addr: addr}
+	for i, e := range initial {
+		kind := tinbeam.ListDelta
+		if i == 0 {
+			kind = tinbeam.ListCached
+		} else if e.Kind == changelog.FullList {
+			kind = tinbeam.ListFull
+		}
+		cl.apply(e, kind)
+	}
+	cl.seq = max(cl.seq, seq)
+	var sweep func()
+	sweep = func() {
+		if cl.conn != nil && core.Now()-cl.lastFrameAt > changeLogIdleTimeout {
+			cl.conn.link.Close() // an idle connection is dead, even if the kernel still reports it as open
+		}
+		cl.dial()
+		core.After(changeLogRetryInterval, sweep)
+	}
+	core.After(0, sweep)
+	return cl
+}
+
+func (cl *ChangeLogClient) apply(e changelog.Event, kind tinbeam.ListKind) {
+	cl.seq = e.Seq
+	cl.core.Metrics.ListEvents.Inc()
+	cl.farEnds.ApplyList(e.Seq, kind, e.Entries)
+}
+
+// SetAddress follows the change log at another address from now on. The sequence numbers continue there. The old address
+// sends no further events, so its connection is closed and a dial to it in progress is ignored.
+func (cl *ChangeLogClient) SetAddress(addr string) {
+	if addr == cl.addr {
+		return
+	}
+	cl.addr, cl.dialing = addr, nil
+	if c := cl.conn; c != nil {
+		cl.conn = nil
+		c.link.Close()
+	}
+	cl.dial()
+}
+
+func (cl *ChangeLogClient) dial() {
+	if cl.addr == "" || cl.conn != nil || cl.dialing != nil {
+		return
+	}
+	c := &changeLogConn{client: cl}
+	cl.dialing = c
+	addr := cl.addr
+	go func() {
+		l, err := link.Dial(addr, changeLogDialTimeout, c)
+		cl.core.Post(func() { cl.dialed(c, l, err) })
+	}()
+}
+
+// dialed handles the result of a dial.
+func (cl *ChangeLogClient) dialed(c *changeLogConn, l *link.Conn, err error) {
+	current := cl.dialing == c
+	if current {
+		cl.dialing = nil
+	}
+	switch {
+	case err != nil:
+		cl.core.Metrics.DialsFailed.Inc()
+	case !current:
+		l.Close() // it leads to the change log's previous address
+	case c.closed:
+		// The connection broke before the dial's result was handled. Without this case it would be kept as if it were open.
+		cl.core.Metrics.DialsFailed.Inc()
+	default:
+		c.link, cl.conn, cl.lastFrameAt = l, c, cl.core.Now()
+		cl.core.Metrics.ListReconnects.Inc()
+		l.Send(changelog.ResumeRequest(cl.seq), nil)
+	}
+}
+
+// Data parses frames and posts each event to the loop.
+func (c *changeLogConn) Data(_ *link.Conn, b []byte) (int, error) {
+	used := 0
+	for {
+		e, n, err := changelog.Parse(b[used:])
+		if err != nil {
+			c.client.core.Metrics.Malformed.Inc()
+			return used, err
+		}
+		if n == 0 {
+			return used, nil
+		}
+		used += n
+		c.client.core.Post(func() { c.handleEvent(e) })
+	}
+}
+
+func (c *changeLogConn) handleEvent(e *changelog.Event) {
+	cl := c.client
+	if cl.conn != c {
+		return
+	}
+	cl.lastFrameAt = cl.core.Now()
+	switch {
+	case e.Kind == changelog.KeepAlive:
+	case e.Seq <= cl.seq:
+		// Ignores a repeated event, including a repeated full list: applying it would undo the events that followed it.
+		cl.core.Metrics.ListGaps.Inc()
+	case e.Kind == changelog.FullList:
+		cl.apply(*e, tinbeam.ListFull)
+	case e.Seq > cl.seq+1:
+		// Events were missed, and a delta applies only to the state before it: reconnect and resume after the last event held.
+		cl.core.Metrics.ListGaps.Inc()
+		c.link.Close()
+	default:
+		cl.apply(*e, tinbeam.ListDelta)
+	}
+}
+
+// Closed handles the end of the connection.
+func (c *changeLogConn) Closed(*link.Conn) {
+	c.client.core.PostNonBlocking(func() {
+		c.closed = true
+		if c.client.conn == c {
+			c.client.conn = nil
+			c.client.dial()
+		}
+	})
+}
--- /dev/null
+++ b/internal/platform/farends.go
@@ -0,0 +1,632 @@
+package platform
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+
+	"tinbeam"
+	"tinbeam/internal/agent"
+	"tinbeam/internal/changelog"
+	"tinbeam/internal/farend"
+	"tinbeam/internal/link"
+)
+
+// Limits and timing of the connections to far ends.
+const (
+	connsWanted         = 2   // connections kept open to each far end, so that one is left when the other breaks
+	maxConnsPerFarEnd   = 4   // a far end sends its circuit group's state on up to this many connections
+	singleConnAbove     = 128 // with more far ends than this each gets one connection, to limit file descriptors
+	redialDelay         = 200 * time.Millisecond
+	resetRedialDelay    = 20 * time.Millisecond  // after a connection that was reset as soon as it opened
+	stallTimeout        = 300 * time.Millisecond // a line incomplete, or a connection idle, for this long does not recover
+	extraConnDelay      = 400 * time.Millisecond // idle time with a set-up pending before an extra connection is opened
+	sweepInterval       = 250 * time.Millisecond
+	healthCheckDelay    = 2 * time.Second // idle time of a far end with attempts or calls before a health check
+	unresponsiveTimeout = 5 * time.Second // then it has failed: its calls must be released within 8 s of its end
+	maxQueuedReleases   = 1024            // releases kept for a far end that cannot be reached
+)
+
+// FarEnds is the far-end side: it keeps connections open to the far ends in the far-end list.
+type FarEnds struct {
+	core        *agent.Core
+	log         *zap.Logger
+	dialTimeout time.Duration // for opening a connection
+	byID        map[uint32]*farEnd
+	closed      bool
+	onReady     func()
+}
+
+// farEnd is one far end of the list with its connections and attempts.
+type farEnd struct {
+	farEnds        *FarEnds
+	id             uint32
+	addr           string
+	addrChanged    bool // the last list event changed the address
+	mode           tinbeam.Mode
+	onlineSince    time.Duration // start of its process, as far as listed
+	conns          []*farConn
+	dialing        bool
+	redialAt       time.Duration             // no dial starts before this time
+	readyReported  bool                      // its group's state was received, or no connection could be opened
+	lastReceivedAt time.Duration             // time of the last line, or of the last connection opened
+	checkPending   bool                      // a health check was sent, and nothing received since
+	attempts       map[string]*agent.Attempt // pending or established, by Call.ID
+	waiting        []*agent.Attempt          // attempts waiting for a connection
+	queuedReleases [][]byte                  // releases waiting for a connection
+	checkSentAt    map[string]time.Duration  // send times of the check lines without an answer, by UID
+}
+
+// farConn is one connection. Its methods Data and Closed run outside the event loop and only post to it.
+type farConn struct {
+	farEnd      *farEnd
+	link        *link.Conn
+	connectedAt time.Duration
+	closed      bool
+	// group states received on the other connections since the last line on this one, and when they became too many
+	missedStates int
+	missLimitAt  time.Duration
+	pending      int       // set-ups on it that have no answer yet
+	groupState   []float32 // the group's last state received here
+}
+
+// attemptLeg is this front end's state of an attempt, kept in Attempt.Leg.
+type attemptLeg struct {
+	conn    *farConn
+	pending bool // no answer was received yet
+	handle  link.SendHandle
+	expiry  *agent.Timer // runs while the attempt waits for a connection
+}
+
+// NewFarEnds returns the far-end side. onReady is called once for each far end outside the local exchange,
+// when it becomes ready for calls.
+func NewFarEnds(core *agent.Core, log *zap.Logger, dialTimeout time.Duration, onReady func()) *FarEnds {
+	if dialTimeout <= 0 {
+		dialTimeout = 500 * time.Millisecond
+	}
+	f := &FarEnds{core: core, log: log, dialTimeout: dialTimeout, byID: map[uint32]*farEnd{}, onReady: onReady}
+	var sweep func()
+	sweep = func() {
+		for _, id := range slices.Sorted(maps.Keys(f.byID)) {
+			f.byID[id].sweep()
+		}
+		core.After(sweepInterval, sweep)
+	}
+	core.After(sweepInterval, sweep)
+	return f
+}
+
+// Close closes all connections permanently. Calls that end from now on are reported to the next process that connects.
+func (f *FarEnds) Close() {
+	f.closed = true
+	for _, id := range slices.Sorted(maps.Keys(f.byID)) {
+		f.byID[id].closeConns()
+	}
+}
+
+// ApplyList applies a change-log event to the far ends and passes it on to the core.
+func (f *FarEnds) ApplyList(version uint64, kind tinbeam.ListKind, entries []changelog.Entry) {
+	listed := map[uint32]bool{}
+	plain := make([]tinbeam.Entry, len(entries))
+	var changed []*farEnd
+	for i, e := range entries {
+		plain[i] = e.Entry
+		listed[e.Switch] = true
+		x := f.byID[e.Switch]
+		if x == nil {
+			if e.Mode == tinbeam.Gone {
+				continue
+			}
+			x = &farEnd{farEnds: f, id: e.Switch, attempts: map[string]*agent.Attempt{},
+				checkSentAt: map[string]time.Duration{}, lastReceivedAt: f.core.Now(),
+				readyReported: e.ExchangeNumber == f.core.Settings.LocalExchange}
+			f.byID[e.Switch] = x
+		}
+		if x.addr != e.Addr {
+			x.addrChanged = x.addr != ""
+			x.addr = e.Addr
+		}
+		x.mode = e.Mode
+		if e.OnlineSince > x.onlineSince {
+			x.onlineSince = e.OnlineSince
+		}
+		changed = append(changed, x)
+	}
+	if kind != tinbeam.ListDelta {
+		for _, id := range slices.Sorted(maps.Keys(f.byID)) {
+			if x := f.byID[id]; !listed[id] {
+				x.mode = tinbeam.Gone
+				changed = append(changed, x)
+			}
+		}
+	}
+	// The core is notified first, so that the decision module's next choices use the new list; nothing is sent in between.
+	f.core.UpdateFarEnds(version, kind, plain, f)
+	for _, x := range changed {
+		x.reconcile()
+	}
+}
+
+// reconcile brings the attempts and connections into line with the far-end list.
+func (x *farEnd) reconcile() {
+	if x.mode != tinbeam.Ready {
+		// Keeps the rule on drains: a set-up still waiting to be written must not be sent after the drain began.
+		for _, a := range x.sortedAttempts() {
+			l := a.Leg.(*attemptLeg)
+			if !a.Established() && (l.conn == nil || l.handle.Withdraw()) {
+				x.farEnds.core.Metrics.AttemptsWithdrawn.Inc()
+				x.removeAttempt(a)
+				x.farEnds.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
+			}
+		}
+	}
+	if x.mode == tinbeam.Gone {
+		x.resetAttempts(x.farEnds.core.Now())
+		x.closeConns()
+		delete(x.farEnds.byID, x.id)
+		return
+	}
+	if x.addrChanged {
+		// Calls set up at the old address are lost with it, and the connections lead there.
+		x.addrChanged = false
+		x.resetAttempts(x.farEnds.core.Now())
+		x.closeConns()
+	}
+	// A restarted process has lost its earlier calls; calls set up after its start are its own.
+	x.resetAttempts(x.onlineSince)
+	x.dial(connsWanted)
+}
+
+func (x *farEnd) sortedAttempts() []*agent.Attempt {
+	out := make([]*agent.Attempt, 0, len(x.attempts))
+	for _, uid := range slices.Sorted(maps.Keys(x.attempts)) {
+		out = append(out, x.attempts[uid])
+	}
+	return out
+}
+
+// resetAttempts ends all attempts and calls that were sent before a time, or all of them if that time is now.
+func (x *farEnd) resetAttempts(before time.Duration) {
+	for _, a := range x.sortedAttempts() {
+		if a.SentAt < before || before == x.farEnds.core.Now() {
+			x.removeAttempt(a)
+			x.farEnds.core.Ended(a, tinbeam.Reset, 0, nil, farend.CauseReset)
+		}
+	}
+}
+
+// closeConns closes the connections. Their pending set-ups end when the closes are reported.
+func (x *farEnd) closeConns() {
+	for _, c := range slices.Clone(x.conns) {
+		c.link.Close()
+	}
+}
+
+func (x *farEnd) removeAttempt(a *agent.Attempt) {
+	if x.attempts[a.Call.ID] == a {
+		delete(x.attempts, a.Call.ID)
+	}
+	l := a.Leg.(*attemptLeg)
+	x.farEnds.core.Stop(l.expiry)
+	if l.conn == nil {
+		x.waiting = slices.DeleteFunc(x.waiting, func(w *agent.Attempt) bool { return w == a })
+	}
+	l.clearPending()
+}
+
+// clearPending stops counting a set-up as pending on its connection. Established calls belong to no connection and do not
+// count: a stalled connection would have none pending, and be chosen for every next set-up.
+func (l *attemptLeg) clearPending() {
+	if l.pending {
+		l.pending = false
+		l.conn.pending--
+	}
+}
+
+// SetUp sends a set-up, or keeps it until a connection is open, for at most the dial timeout.
+func (f *FarEnds) SetUp(a *agent.Attempt) {
+	l := &attemptLeg{handle: link.SendHandle{Counter: f.core.Metrics.Launches}}
+	a.Leg = l
+	x := f.byID[a.Switch]
+	if x == nil {
+		f.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
+		return
+	}
+	x.attempts[a.Call.ID] = a
+	if c := x.leastLoaded(); c != nil {
+		c.sendLaunch(a)
+		return
+	}
+	x.waiting = append(x.waiting, a)
+	l.expiry = f.core.After(f.dialTimeout, func() {
+		x.removeAttempt(a)
+		f.core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
+	})
+	x.redialAt = 0
+	x.dial(connsWanted)
+}
+
+// leastLoaded returns the connection with the fewest pending set-ups; nil: none is open.
+func (x *farEnd) leastLoaded() *farConn {
+	var best *farConn
+	for _, c := range x.conns {
+		if best == nil || c.pending < best.pending {
+			best = c
+		}
+	}
+	return best
+}
+
+// launchLine is the line that sets a call up at a far end.
+func launchLine(k *agent.Call, class string, left time.Duration) *farend.Message {
+	m := &farend.Message{Kind: farend.Launch, UID: k.ID, Body: k.Description, Meta: map[string]string{
+		"class": class, "left": strconv.FormatInt(left.Milliseconds(), 10)}}
+	if k.Number != "" {
+		m.Meta["key"] = k.Number
+	}
+	return m
+}
+
+func (c *farConn) sendLaunch(a *agent.Attempt) {
+	k, l := a.Call, a.Leg.(*attemptLeg)
+	core := c.farEnd.farEnds.core
+	left := max(a.Timeout-(core.Now()-a.SentAt), time.Millisecond)
+	m := launchLine(k, core.Settings.Classes[k.Class].Name, left)
+	l.conn, l.pending = c, true
+	c.pending++
+	if e := c.farEnd.farEnds.log.Check(zap.DebugLevel, "set-up"); e != nil {
+		e.Write(zap.String("far", c.farEnd.addr), zap.String("uid", k.ID), zap.Float64("width", k.Width))
+	}
+	c.link.Send(m.Append(nil), &l.handle) // if Send fails, the connection's close is reported and ends the attempt
+}
+
+// Cancel withdraws a set-up that has not been written, or cancels it at the far end.
+func (f *FarEnds) Cancel(a *agent.Attempt) {
+	l := a.Leg.(*attemptLeg)
+	x := f.byID[a.Switch]
+	if x == nil {
+		return
+	}
+	x.removeAttempt(a)
+	if l.conn == nil || l.handle.Withdraw() {
+		f.core.Metrics.AttemptsWithdrawn.Inc()
+		return
+	}
+	l.conn.link.Send((&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: farend.CauseNormal}).Append(nil), nil)
+}
+
+// Release releases an established call: on the connection of its set-up, else on any other, else on the next one opened.
+func (f *FarEnds) Release(a *agent.Attempt, cause int) {
+	x := f.byID[a.Switch]
+	if x == nil {
+		return
+	}
+	x.removeAttempt(a)
+	m := (&farend.Message{Kind: farend.Stop, UID: a.Call.ID, Cause: cause}).Append(nil)
+	if c := a.Leg.(*attemptLeg).conn; c != nil && c.link.Send(m, nil) {
+		return
+	}
+	if c := x.leastLoaded(); c != nil && c.link.Send(m, nil) {
+		return
+	}
+	if len(x.queuedReleases) < maxQueuedReleases {
+		x.queuedReleases = append(x.queuedReleases, m)
+	}
+}
+
+// Probe sends a load probe to a far end.
+func (f *FarEnds) Probe(id uint32) {
+	x := f.byID[id]
+	if x == nil || !x.sendCheck() {
+		f.core.Probed(id, tinbeam.ConnectFailed, 0, nil)
+	}
+}
+
+func (x *farEnd) sendCheck() bool {
+	c := x.leastLoaded()
+	if c == nil {
+		x.dial(connsWanted)
+		return false
+	}
+	uid := fmt.Sprintf("%016x", rand.Uint64())
+	x.checkSentAt[uid] = x.farEnds.core.Now()
+	return c.link.Send((&farend.Message{Kind: farend.Check, UID: uid}).Append(nil), nil)
+}
+
+// dial opens a connection if there are fewer than limit. It dials outside the event loop and posts the result.
+func (x *farEnd) dial(limit int) {
+	f := x.farEnds
+	if len(f.byID) > singleConnAbove {
+		limit = 1
+	}
+	if f.closed || x.dialing || len(x.conns) >= limit || x.mode == tinbeam.Gone || f.core.Now() < x.redialAt {
+		return
+	}
+	x.dialing = true
+	addr := x.addr
+	c := &farConn{farEnd: x}
+	go func() {
+		l, err := link.Dial(addr, f.dialTimeout, c)
+		f.core.Post(func() {
+			x.dialing = false
+			if err == nil && (x.addr != addr || f.byID[x.id] != x) {
+				l.Close()
+				err = fmt.Errorf("the far end's address has changed")
+			}
+			if err != nil {
+				x.dialFailed(link.Refused(err))
+			} else {
+				x.connected(c, l)
+			}
+		})
+	}()
+}
+
+// dialFailed handles a connection that could not be opened. A refused one proves that the process and its calls are gone.
+func (x *farEnd) dialFailed(refused bool) {
+	core := x.farEnds.core
+	core.Metrics.DialsFailed.Inc()
+	x.redialAt = core.Now() + redialDelay
+	x.reportReady()
+	if len(x.conns) > 0 {
+		return
+	}
+	if refused {
+		for _, a := range slices.Clone(x.waiting) {
+			x.removeAttempt(a)
+			core.Ended(a, tinbeam.ConnectFailed, 0, nil, 0)
+		}
+		x.resetAttempts(core.Now())
+	}
+}
+
+// redialLater dials the next connection after resetRedialDelay.
+func (x *farEnd) redialLater() {
+	x.redialAt = x.farEnds.core.Now() + resetRedialDelay
+	x.farEnds.core.At(x.redialAt, func() {
+		if x.farEnds.byID[x.id] == x {
+			x.dial(connsWanted)
+		}
+	})
+}
+
+// reportReady reports, once, that the group's state was received or cannot be.
+func (x *farEnd) reportReady() {
+	if !x.readyReported {
+		x.readyReported = true
+		x.farEnds.onReady()
+	}
+}
+
+func (x *farEnd) connected(c *farConn, l *link.Conn) {
+	core := x.farEnds.core
+	if c.closed {
+		// The connection was reset before the dial's result was handled. Without this, set-ups would be sent on it forever.
+		x.dialFailed(false)
+		x.redialLater()
+		return
+	}
+	c.link, c.connectedAt = l, core.Now()
+	if c.groupState != nil && len(x.conns) == 0 {
+		core.Report(x.id, c.groupState) // it was received before the dial's result was handled
+	}
+	x.conns = append(x.conns, c)
+	x.lastReceivedAt, x.checkPending = core.Now(), false
+	core.Metrics.LinksUp.Inc()
+	for _, m := range x.queuedReleases {
+		l.Send(m, nil)
+	}
+	x.queuedReleases = nil
+	waiting := x.waiting
+	x.waiting = nil
+	for _, a := range waiting {
+		core.Stop(a.Leg.(*attemptLeg).expiry)
+		c.sendLaunch(a)
+	}
+	x.dial(connsWanted)
+}
+
+// Data parses lines. A malformed line closes the connection at once and drops what still waits to be written: the lines
+// behind it cannot be parsed, so set-ups pending on the connection would get no answer.
+func (c *farConn) Data(l *link.Conn, b []byte) (int, error) {
+	core := c.farEnd.farEnds.core
+	used := 0
+	for {
+		m, n, err := farend.Parse(b[used:])
+		used += n
+		switch {
+		case err != nil:
+			core.Metrics.Malformed.Inc()
+			c.farEnd.farEnds.log.Debug("malformed line from far end",
+				zap.Error(err), zap.ByteString("from", b[used-n:min(len(b), used-n+160)]))
+			l.Close()
+			return used, err
+		case n == 0:
+			return used, nil
+		case m != nil:
+			core.Post(func() { c.handleLine(m) })
+		}
+	}
+}
+
+// Closed handles the end of the connection.
+func (c *farConn) Closed(*link.Conn) { c.farEnd.farEnds.core.PostNonBlocking(c.tearDown) }
+
+// tearDown ends the set-ups pending on a closed connection. Established calls belong to no connection and stay.
+func (c *farConn) tearDown() {
+	x := c.farEnd
+	c.closed = true
+	core := x.farEnds.core
+	if !slices.Contains(x.conns, c) {
+		return // it opened when it was no longer needed
+	}
+	x.redialAt = 0
+	if core.Now()-c.connectedAt < resetRedialDelay {
+		x.redialLater() // it was reset right after opening, and the next one may be too
+	}
+	core.Metrics.LinksLost.Inc()
+	x.farEnds.log.Debug("connection to far end lost", zap.String("far", x.addr), zap.Int("open", c.pending))
+	first := x.conns[0] == c
+	x.conns = slices.DeleteFunc(x.conns, func(o *farConn) bool { return o == c })
+	if first && len(x.conns) > 0 && x.conns[0].groupState != nil {
+		core.Report(x.id, x.conns[0].groupState) // from now on the group's states are taken from this connection
+	}
+	for _, a := range x.sortedAttempts() {
+		l := a.Leg.(*attemptLeg)
+		if l.conn != c || a.Established() {
+			continue
+		}
+		x.removeAttempt(a)
+		// Keeps a healthy far end in use: one broken connection says nothing about its load or health. If the process
+		// has died, the next connection is refused, which shows it.
+		if l.handle.Withdraw() { // none of it was written, so the far end never received it
+			core.Ended(a, tinbeam.ConnectFailed, tinbeam.NoteLinkLost, nil, 0)
+		} else {
+			core.Ended(a, tinbeam.Reset, tinbeam.NoteLinkLost, nil, farend.CauseReset)
+		}
+	}
+	x.dial(connsWanted)
+}
+
+// handleLine handles one line from the far end.
+func (c *farConn) handleLine(m *farend.Message) {
+	x := c.farEnd
+	core := x.farEnds.core
+	x.lastReceivedAt, x.checkPending = core.Now(), false
+	c.missedStates = 0
+	a := x.attempts[m.UID]
+	if e := x.farEnds.log.Check(zap.DebugLevel, m.Kind); e != nil {
+		e.Write(zap.String("far", x.addr), zap.String("uid", m.UID), zap.Int("cause", m.Cause), zap.Any("meta", m.Meta))
+	}
+	switch m.Kind {
+	case farend.Staging, farend.Stopped:
+	case farend.Running:
+		if a == nil {
+			core.Metrics.StrayMessages.Inc() // it crossed the stop line for its set-up, which ends it at the far end
+			return
+		}
+		a.Leg.(*attemptLeg).clearPending()
+		core.Answered(a, m.Body)
+	case farend.Stop:
+		if a == nil {
+			core.Metrics.StrayMessages.Inc()
+			return
+		}
+		if a.Established() {
+			c.link.Send((&farend.Message{Kind: farend.Stopped, UID: m.UID}).Append(nil), nil)
+		}
+		x.removeAttempt(a)
+		core.Ended(a, m.OutcomeCode(a.Established()), m.Note(), m.Report(core.Settings.ReportFields), m.Cause)
+	case farend.Usage:
+		// A group's state is sent on every connection, so only the copy on the first one is reported. The second copy is
+		// older than the set-ups sent after the first; reported too, it would let as many go again, and they would find
+		// no free circuit.
+		if c.groupState = m.Report(core.Settings.ReportFields); c.groupState != nil && len(x.conns) > 0 && x.conns[0] == c {
+			core.Report(x.id, c.groupState)
+		}
+		x.reportReady()
+		for _, o := range x.conns {
+			if o != c {
+				o.noteMissedState(core.Now())
+			}
+		}
+	case farend.Checked:
+		at, ok := x.checkSentAt[m.UID]
+		if !ok {
+			core.Metrics.StrayMessages.Inc()
+			return
+		}
+		delete(x.checkSentAt, m.UID)
+		code := tinbeam.OK
+		if m.Cause != farend.CheckPassed {
+			code = tinbeam.Failed
+		}
+		core.Probed(x.id, code, core.Now()-at, m.Report(core.Settings.ReportFields))
+	default:
+		core.Metrics.Malformed.Inc()
+	}
+}
+
+// noteMissedState counts a group state received on another connection. Each state is sent on all connections at nearly the
+// same time. Of two states counted on every other connection, one may have been received here first, but not both.
+func (c *farConn) noteMissedState(now time.Duration) {
+	if c.missedStates++; c.missedStates == 2*(len(c.farEnd.conns)-1) {
+		c.missLimitAt = now
+	}
+}
+
+// stalled reports whether a connection is open but unusable: a line on it stays incomplete, or lines are received on the
+// other connections and not on this one.
+func (c *farConn) stalled(now time.Duration) bool {
+	return c.link.StalledFor() > stallTimeout || c.missedStates >= 2*(len(c.farEnd.conns)-1) &&
+		c.missedStates > 0 && now-c.missLimitAt > stallTimeout
+}
+
+// sweep handles what depends on time alone: connections to open or close, and unresponsive far ends.
+func (x *farEnd) sweep() {
+	core := x.farEnds.core
+	for _, c := range slices.Clone(x.conns) {
+		if c.stalled(core.Now()) {
+			core.Metrics.StalledLinks.Inc()
+			c.link.Close()
+		}
+	}
+	x.dial(connsWanted)
+	for uid, at := range x.checkSentAt {
+		if core.Now()-at > unresponsiveTimeout {
+			delete(x.checkSentAt, uid)
+		}
+	}
+	idle := core.Now() - x.lastReceivedAt
+	if len(x.attempts) == 0 {
+		return
+	}
+	switch {
+	case idle > unresponsiveTimeout:
+		// A machine that is gone or cut off sends nothing, its connections stay open, and no new one could be opened.
+		x.farEnds.log.Warn("far end is unresponsive",
+			zap.String("id", changelog.FormatID(x.id)), zap.Int("calls", len(x.attempts)))
+		core.Metrics.IdleLinks.Inc()
+		x.resetAttempts(core.Now())
+		x.closeConns()
+	case idle > healthCheckDelay && !x.checkPending:
+		x.checkPending = true
+		x.sendCheck()
+		x.openTestConn()
+	case idle > extraConnDelay && len(x.conns) < maxConnsPerFarEnd && x.pendingLongerThan(extraConnDelay):
+		// All its connections may be stalled. On a new one the far end first sends its group's state, which shows it is alive.
+		x.dial(maxConnsPerFarEnd)
+	}
+}
+
+// pendingLongerThan reports whether a set-up has been pending for longer than age.
+func (x *farEnd) pendingLongerThan(age time.Duration) bool {
+	for _, a := range x.attempts {
+		if !a.Established() && x.farEnds.core.Now()-a.SentAt > age {
+			return true
+		}
+	}
+	return false
+}
+
+// openTestConn opens one more connection to an unresponsive far end. This keeps the established calls of a far end that only
+// hangs: its machine still accepts connections, while one to a machine that is gone or cut off is never opened.
+func (x *farEnd) openTestConn() {
+	if len(x.conns) >= maxConnsPerFarEnd {
+		for _, c := range x.conns {
+			open := slices.ContainsFunc(x.sortedAttempts(), func(a *agent.Attempt) bool {
+				return a.Leg.(*attemptLeg).conn == c && !a.Established()
+			})
+			if !open { // no set-up is lost with it
+				c.link.Close()
+				break
+			}
+		}
+	}
+	x.dial(maxConnsPerFarEnd)
+}
