--- a/cmd/tinbeam/serve.go
+++ b/cmd/tinbeam/serve.go
@@ -100,16 +100,16 @@
 		for s := range signals {
 			switch s {
 			case syscall.SIGUSR1:
-				a.M.Print(out)
+				a.Metrics.Print(out)
 			case syscall.SIGHUP:
 				a.Reload(func(present *config.Config) (*config.Config, error) { return config.Reload(o.config, present) })
 			default:
 				log.Info("ending", zap.String("signal", s.String()))
-				a.Term()
+				a.Shutdown()
 			}
 		}
 	}()
 	a.Run()
-	a.M.Print(out)
+	a.Metrics.Print(out)
 	return nil
 }
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,4 +1,4 @@
-// Package app puts the parts of the call agent together: one loop, the core on it, and the fronts before it.
+// Package app assembles the call agent: one event loop, the core that runs on it, and the front ends that serve the core.
 package app
 
 import (
@@ -23,172 +23,175 @@
 )
 
 const (
-	readyAfter = time.Second            // the agent takes calls at the latest then, whatever it could reach
-	termStay   = 800 * time.Millisecond // callers' requests still come for 0.6 s after SIGTERM
-	termMost   = 3 * time.Second        // a deadline beyond this counts as this: SIGKILL comes 0.7 s behind it
-	handMost   = 5 * time.Second        // the same where another process holds the callers' socket too and goes on
-	termLeave  = 300 * time.Millisecond // after the longest deadline nothing more is taken: 0.4 s before SIGKILL
-	termClear  = 550 * time.Millisecond // and what still has no answer gets it
-	termOver   = 570 * time.Millisecond // and the connections close
-	termFlush  = 50 * time.Millisecond  // and the agent ends, its last words with the kernel
-	termLook   = 20 * time.Millisecond
+	readyTimeout          = time.Second            // the agent accepts calls after this at the latest, whatever it could reach
+	minShutdownTime       = 800 * time.Millisecond // least time from SIGTERM to the end: callers send requests for another 0.6 s
+	maxShutdownDeadline   = 3 * time.Second        // longer call deadlines count as this: SIGKILL follows 0.7 s after it
+	maxHandoverDeadline   = 5 * time.Second        // the same if another process also holds the callers' socket and continues
+	refuseDelay           = 300 * time.Millisecond // after the longest deadline: new calls are refused, 0.4 s before SIGKILL
+	failPendingDelay      = 550 * time.Millisecond // after the longest deadline: calls still pending are failed
+	closeDelay            = 570 * time.Millisecond // after the longest deadline: the connections are closed
+	flushDelay            = 50 * time.Millisecond  // from then to the end of the agent; the last messages must reach the kernel
+	openCallsPollInterval = 20 * time.Millisecond  // how often it is checked whether calls are still open
 )
 
-// How callers are sent away: where operators ask for it, callers have nowhere else to go before the front knows, and have to be
-// gone after 4 s; where another process holds their socket too, they find it at once.
+// The schedules for draining callers. When operators drain, callers have no other agent to connect to until the front end of
+// the platform notices, and must be gone after 4 s. When another process also holds the callers' socket, they reach that
+// process at once.
 var (
-	drainPace = platform.DrainSchedule{RefuseAfter: 3300 * time.Millisecond, CloseAfter: 3600 * time.Millisecond,
+	operatorDrain = platform.DrainSchedule{RefuseAfter: 3300 * time.Millisecond, CloseAfter: 3600 * time.Millisecond,
 		EndAfter: 3750 * time.Millisecond}
-	handPace = platform.DrainSchedule{CloseAfter: 100 * time.Millisecond}
+	handoverDrain = platform.DrainSchedule{CloseAfter: 100 * time.Millisecond}
 )
 
 // App is one call agent.
 type App struct {
-	M       *metrics.Set
-	loop    *agent.Loop
-	core    *agent.Core
-	log     *zap.Logger
-	cfg     *config.Config
-	feed    *platform.ChangeLogClient // set on the loop
-	callers *platform.Callers
-	fars    *platform.FarEnds // set on the loop
-	ln      *link.Listener
-	udp     *mgcp.Socket
-	door    *manage.Server
-	taking  atomic.Bool // it is ready, and not about to end
-	away    atomic.Bool // operators have had callers sent away
-	remote  *metrics.RemoteWriter
-	ending  bool // on the loop
-	once    struct{ ready, term sync.Once }
-	ctx     context.Context
-	end     context.CancelFunc
+	Metrics      *metrics.Set
+	loop         *agent.Loop
+	core         *agent.Core
+	log          *zap.Logger
+	cfg          *config.Config
+	changeLog    *platform.ChangeLogClient // set on the loop
+	callers      *platform.Callers
+	farEnds      *platform.FarEnds // set on the loop
+	listener     *link.Listener
+	mgcpSocket   *mgcp.Socket          // nil without the MGCP front end
+	management   *manage.Server        // nil without a management address
+	accepting    atomic.Bool           // the agent is ready and not shutting down
+	draining     atomic.Bool           // operators have drained the callers
+	remoteWriter *metrics.RemoteWriter // nil without remote write
+	shuttingDown bool                  // used on the loop only
+	once         struct{ ready, shutdown sync.Once }
+	ctx          context.Context
+	stop         context.CancelFunc // ends Run
 }
 
-// New opens the sockets and sets all up; nothing is handled before Run.
+// New opens the sockets and creates all parts. No event is handled before Run.
 func New(cfg *config.Config, op *config.Operator, log *zap.Logger) (*App, error) {
-	a := &App{M: metrics.New(), loop: agent.NewLoop(agent.SystemClock()), log: log, cfg: cfg, remote: op.RemoteWrite}
-	a.ctx, a.end = context.WithCancel(context.Background())
+	a := &App{Metrics: metrics.New(), loop: agent.NewLoop(agent.SystemClock()), log: log, cfg: cfg, remoteWriter: op.RemoteWrite}
+	a.ctx, a.stop = context.WithCancel(context.Background())
 	var hook agent.Hook
 	if op.Plugin != nil {
-		p, err := plugin.Load(*op.Plugin, a.loop.Now, a.M, log)
+		p, err := plugin.Load(*op.Plugin, a.loop.Now, a.Metrics, log)
 		if err != nil {
 			return nil, err
 		}
 		hook = p
 	}
-	memory := memoryMB(cfg) << 20
-	a.core = agent.New(a.loop, cfg.Settings, cfg.Seed, memory, a.M, log, hook)
-	most := callersMost(cfg.Sockets)
-	a.callers = platform.NewCallers(a.core, log, cfg.Listen, most*3/4, memory)
+	memoryLimit := memoryLimitMB(cfg) << 20
+	a.core = agent.New(a.loop, cfg.Settings, cfg.Seed, memoryLimit, a.Metrics, log, hook)
+	maxConns := maxCallerConns(cfg.Sockets)
+	a.callers = platform.NewCallers(a.core, log, cfg.Listen, maxConns*3/4, memoryLimit)
 	var err error
 	if cfg.InheritedFD > 0 {
-		a.ln, err = link.Inherit(cfg.InheritedFD, most, unreadMost(memory, most), a.callers.Accept)
+		a.listener, err = link.Inherit(cfg.InheritedFD, maxConns, maxUnsentBytes(memoryLimit, maxConns), a.callers.Accept)
 	} else {
-		a.ln, err = link.Listen(cfg.Listen, most, unreadMost(memory, most), a.callers.Accept)
+		a.listener, err = link.Listen(cfg.Listen, maxConns, maxUnsentBytes(memoryLimit, maxConns), a.callers.Accept)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", cfg.Listen, err)
 	}
 	if cfg.Management != "" {
-		if a.door, err = manage.Listen(cfg.Management, operatorsMost(cfg.Sockets), a, log); err != nil {
-			a.ln.Close()
+		if a.management, err = manage.Listen(cfg.Management, maxOperatorConns(cfg.Sockets), a, log); err != nil {
+			a.listener.Close()
 			return nil, fmt.Errorf("management: listen on %s: %w", cfg.Management, err)
 		}
 	}
 	if op.MGCPListen != "" {
-		if a.udp, err = mgcp.Listen(op.MGCPListen); err != nil {
-			a.ln.Close()
-			a.closeDoor()
+		if a.mgcpSocket, err = mgcp.Listen(op.MGCPListen); err != nil {
+			a.listener.Close()
+			a.closeManagement()
 			return nil, fmt.Errorf("mgcp: listen on %s: %w", op.MGCPListen, err)
 		}
 	}
-	a.loop.Post(func() { a.begin(cfg, op) })
+	a.loop.Post(func() { a.start(cfg, op) })
 	return a, nil
 }
 
-// callersMost is how many connections callers may hold: they keep to a third of the descriptors, so at two thirds
-// something is wrong, and the rest is needed for far ends.
-func callersMost(sockets int) int {
+// maxCallerConns returns the maximum number of caller connections: two thirds of the file descriptors. Callers normally use
+// no more than one third, so two thirds is a sign of a fault, and the rest is needed for far ends.
+func maxCallerConns(sockets int) int {
 	if sockets <= 0 {
 		sockets = 1024
 	}
 	return max(sockets*2/3, 16)
 }
 
-// operatorsMost is how many connections operators may hold.
-func operatorsMost(sockets int) int { return min(max(sockets/16, 8), 64) }
+// maxOperatorConns returns the maximum number of operators' connections.
+func maxOperatorConns(sockets int) int { return min(max(sockets/16, 8), 64) }
 
-// unreadMost is how many bytes may wait for a caller that does not read: all of them together a quarter of the memory.
-func unreadMost(memory, callers int) int { return min(max(memory/4/callers, 16<<10), 256<<10) }
+// maxUnsentBytes returns how many bytes may be queued for one caller that does not read, so that all callers together use no
+// more than a quarter of the memory limit. Both sizes are in bytes.
+func maxUnsentBytes(memory, conns int) int { return min(max(memory/4/conns, 16<<10), 256<<10) }
 
-// memoryMB is the limit on memory; not told, it is that of the larger scored days.
-func memoryMB(cfg *config.Config) int {
+// memoryLimitMB returns the memory limit in MB. The default is the limit of the larger scored days.
+func memoryLimitMB(cfg *config.Config) int {
 	if cfg.MemoryMB <= 0 {
 		return 192
 	}
 	return cfg.MemoryMB
 }
 
-// begin runs on the loop: it opens the connections and passes tests once each far end has told of its group.
-func (a *App) begin(cfg *config.Config, op *config.Operator) {
-	waits := 1
-	ready := func() {
-		if waits--; waits == 0 {
-			a.ready()
+// start runs on the loop. It opens the connections to far ends and the change log; health checks are answered with success
+// once each far end has reported the state of its group.
+func (a *App) start(cfg *config.Config, op *config.Operator) {
+	remaining := 1
+	partReady := func() {
+		if remaining--; remaining == 0 {
+			a.acceptCallers()
 		}
 	}
-	for _, n := range listed(cfg) {
-		// Guards against a slow start: the own exchange is in the list too, but no group leads to it and its state
-		// never comes, so that a restarted agent would not be taken in for a second.
+	for _, n := range knownFarEnds(cfg) {
+		// The local exchange is in the list too, but no group leads to it, so its state is never reported. If it were
+		// counted, a restarted agent would not be ready for a second.
 		if n.Mode == tinbeam.Ready && n.ExchangeNumber != cfg.Settings.LocalExchange {
-			waits++
+			remaining++
 		}
 	}
-	a.fars = platform.NewFarEnds(a.core, a.log, cfg.ConnectTimeout, ready)
-	a.feed = platform.NewChangeLogClient(a.core, a.fars, a.log, cfg.Changelog, cfg.KnownSeq, cfg.KnownEvents)
-	if a.udp != nil {
-		front := mgcp.New(a.core, a.log, op.MGCP, cfg.Seed, a.udp.Send)
-		go a.udp.Serve(a.loop, a.M, front.HandleDatagram)
+	a.farEnds = platform.NewFarEnds(a.core, a.log, cfg.ConnectTimeout, partReady)
+	a.changeLog = platform.NewChangeLogClient(a.core, a.farEnds, a.log, cfg.Changelog, cfg.KnownSeq, cfg.KnownEvents)
+	if a.mgcpSocket != nil {
+		frontEnd := mgcp.New(a.core, a.log, op.MGCP, cfg.Seed, a.mgcpSocket.Send)
+		go a.mgcpSocket.Serve(a.loop, a.Metrics, frontEnd.HandleDatagram)
 	}
-	ready()
-	a.loop.After(readyAfter, a.ready)
-	if !a.ln.Inherited() {
-		a.ln.Serve() // a test that comes early waits for the agent; on a passed socket others may answer it
+	partReady()
+	a.loop.After(readyTimeout, a.acceptCallers)
+	if !a.listener.Inherited() {
+		a.listener.Serve() // health checks wait until the agent is ready; on an inherited socket another process may answer them
 	}
 }
 
-// ready takes callers.
-func (a *App) ready() {
+// acceptCallers starts to accept callers.
+func (a *App) acceptCallers() {
 	a.callers.SetReady()
-	a.ln.Serve()
-	a.once.ready.Do(func() { a.taking.Store(true) })
+	a.listener.Serve()
+	a.once.ready.Do(func() { a.accepting.Store(true) })
 }
 
-// AcceptsCallers tells whether callers are taken.
-func (a *App) AcceptsCallers() bool { return a.taking.Load() && !a.away.Load() }
+// AcceptsCallers reports whether the agent accepts callers.
+func (a *App) AcceptsCallers() bool { return a.accepting.Load() && !a.draining.Load() }
 
-// Drain sends callers away, or takes them again.
+// Drain drains the callers, or accepts them again if on is false.
 func (a *App) Drain(on bool) {
-	if a.away.Swap(on) == on {
+	if a.draining.Swap(on) == on {
 		return
 	}
 	if on {
-		a.M.Drains.Inc()
+		a.Metrics.Drains.Inc()
 	}
 	a.log.Info("drain", zap.Bool("callers are sent away", on))
 	a.loop.PostNonBlocking(func() {
 		switch {
-		case a.ending:
-		case a.away.Load():
-			a.callers.Drain(&drainPace)
+		case a.shuttingDown:
+		case a.draining.Load():
+			a.callers.Drain(&operatorDrain)
 		default:
 			a.callers.Drain(nil)
 		}
 	})
 }
 
-// figures is what operators are shown, under their names. Outstanding are the calls that wait for an answer or stand.
-type figures struct {
+// stats holds the statistics that operators read, under their JSON names. Outstanding counts pending and established calls.
+type stats struct {
 	Succeeded   map[string]int64 `json:"succeeded"`
 	Declined    map[string]int64 `json:"declined"`
 	Aborted     map[string]int64 `json:"aborted"`
@@ -200,10 +203,10 @@
 	Rejected    int64            `json:"sighup_rejected"`
 }
 
-// Stats is the present ones.
+// Stats returns the present statistics.
 func (a *App) Stats() any {
-	m := a.M
-	f := figures{Succeeded: map[string]int64{}, Declined: map[string]int64{}, Aborted: map[string]int64{},
+	m := a.Metrics
+	f := stats{Succeeded: map[string]int64{}, Declined: map[string]int64{}, Aborted: map[string]int64{},
 		Forwards: m.Launches.Value(), Outstanding: m.Pending.Value() + m.Established.Value(), Discovered: m.FarEndsListed.Value(),
 		Ejected: m.FarEndsAvoided.Value(), Applied: m.Reloads.Value(), Rejected: m.ReloadsFailed.Value()}
 	for _, name := range m.Classes() {
@@ -213,14 +216,14 @@
 	return f
 }
 
-func (a *App) closeDoor() {
-	if a.door != nil {
-		a.door.Close()
+func (a *App) closeManagement() {
+	if a.management != nil {
+		a.management.Close()
 	}
 }
 
-// listed is each far end as the events of the start leave it.
-func listed(cfg *config.Config) map[uint32]tinbeam.Entry {
+// knownFarEnds returns each far end in the state that the events in the configuration leave it in.
+func knownFarEnds(cfg *config.Config) map[uint32]tinbeam.Entry {
 	list := map[uint32]tinbeam.Entry{}
 	for _, e := range cfg.KnownEvents {
 		for _, n := range e.Entries {
@@ -230,111 +233,114 @@
 	return list
 }
 
-// Addr is where callers connect.
-func (a *App) Addr() string { return a.ln.Addr() }
+// Addr returns the address that callers connect to.
+func (a *App) Addr() string { return a.listener.Addr() }
 
-// ManagementAddr is where operators call; "" without that.
+// ManagementAddr returns the address of the operators' HTTP server, or "" if there is none.
 func (a *App) ManagementAddr() string {
-	if a.door == nil {
+	if a.management == nil {
 		return ""
 	}
-	return a.door.Addr()
+	return a.management.Addr()
 }
 
-// GatewayAddr is where gateways send to; "" without that front.
+// GatewayAddr returns the address that gateways send to, or "" if there is no MGCP front end.
 func (a *App) GatewayAddr() string {
-	if a.udp == nil {
+	if a.mgcpSocket == nil {
 		return ""
 	}
-	return a.udp.Addr().String()
+	return a.mgcpSocket.Addr().String()
 }
 
-// Run serves until Term has run its course or Kill is called.
+// Run serves until Shutdown has completed or Kill is called.
 func (a *App) Run() {
 	var pushes sync.WaitGroup
-	if a.remote != nil {
+	if a.remoteWriter != nil {
 		pushes.Add(1)
 		go func() {
 			defer pushes.Done()
-			a.remote.Run(a.ctx, a.M, func(err error) { a.log.Warn("remote write failed", zap.Error(err)) })
+			a.remoteWriter.Run(a.ctx, a.Metrics, func(err error) { a.log.Warn("remote write failed", zap.Error(err)) })
 		}()
 	}
 	a.loop.Run(a.ctx)
-	a.ln.Close()
-	a.closeDoor()
-	if a.udp != nil {
-		a.udp.Close()
+	a.listener.Close()
+	a.closeManagement()
+	if a.mgcpSocket != nil {
+		a.mgcpSocket.Close()
 	}
 	pushes.Wait()
 }
 
-// Reload reads the configuration anew, takes its settings, and follows the change log that it names. It reads on the
-// caller's goroutine, beside the loop. Calls, far ends and the number of the last event held stay as they are, and calls that
-// are open keep their class; a file that cannot be used changes nothing. The addresses and the limits are for the next start.
+// Reload reads the configuration again, applies its settings, and follows the change log at the address that it names. The
+// file is read on the goroutine that calls Reload, not on the loop. Calls, far ends and the sequence number of the last event
+// are kept, and open calls keep their class. A file that cannot be used changes nothing. Changed addresses and limits take
+// effect at the next start.
 func (a *App) Reload(read func(present *config.Config) (*config.Config, error)) {
 	c, err := read(a.cfg)
 	if err != nil {
-		a.M.ReloadsFailed.Inc()
+		a.Metrics.ReloadsFailed.Inc()
 		a.log.Error("reload failed, all stays as it was", zap.Error(err))
 		return
 	}
-	a.M.Reloads.Inc()
+	a.Metrics.Reloads.Inc()
 	a.log.Info("configuration read anew", zap.String("changelog", c.Changelog))
 	old := a.cfg
 	if c.Listen != old.Listen || c.Management != old.Management || c.MemoryMB != old.MemoryMB || c.Sockets != old.Sockets {
-		a.log.Warn("the addresses and the limits hold until the next start")
+		a.log.Warn("changed addresses and limits take effect at the next start")
 	}
 	a.cfg = c
 	a.loop.Post(func() {
 		if !reflect.DeepEqual(c.Settings, old.Settings) {
 			a.core.Retune(c.Settings)
 		}
-		a.feed.SetAddress(c.Changelog)
+		a.changeLog.SetAddress(c.Changelog)
 	})
 }
 
-// Term ends the agent in order. It goes on taking what comes, for calls in transit come until the others have noticed; it
-// ends once nothing is left that waits or stands, and in time before SIGKILL, which comes 0.7 s after the longest deadline
-// at the earliest. Ahead of that it takes no more; callers and far ends are let go together, so that no request is taken and no
-// release heard that could not be answered or told.
-func (a *App) Term() {
-	a.once.term.Do(func() {
-		a.once.ready.Do(func() {}) // whatever comes
-		a.taking.Store(false)
+// Shutdown shuts the agent down in an orderly way. At first it still accepts calls, because calls in transit arrive until the
+// callers have noticed. The agent ends when no call is pending or established, and in any case before SIGKILL, which comes no
+// earlier than 0.7 s after the longest deadline. Before that it refuses new calls. The connections to callers and to far ends
+// are closed together: otherwise the agent could accept a request that it can no longer answer, or receive a release that it
+// can no longer pass on.
+func (a *App) Shutdown() {
+	a.once.shutdown.Do(func() {
+		a.once.ready.Do(func() {}) // from now on acceptCallers cannot set accepting
+		a.accepting.Store(false)
 		a.loop.Post(func() {
-			a.ending = true
-			longest, most := time.Duration(0), termMost
-			if a.ln.Inherited() {
-				// Guards what comes from now on: it is for the process that holds the socket next. Who is connected already is
-				// served, and sent there as soon as it waits for nothing.
-				a.ln.StopAccepting()
-				a.callers.Drain(&handPace)
-				most = handMost
+			a.shuttingDown = true
+			longest, maxDeadline := time.Duration(0), maxShutdownDeadline
+			if a.listener.Inherited() {
+				// New connections belong to the other process that holds the socket. Without this, they would come to an
+				// agent that is shutting down. Connected callers are still served, and drained once none of their set-ups is
+				// pending.
+				a.listener.StopAccepting()
+				a.callers.Drain(&handoverDrain)
+				maxDeadline = maxHandoverDeadline
 			}
 			for _, k := range a.core.Settings.Classes {
-				longest = max(longest, min(k.HardLimit, most))
+				longest = max(longest, min(k.HardLimit, maxDeadline))
 			}
-			over := func() {
-				a.ln.RejectNew()
-				a.fars.Close()
+			closeAll := func() {
+				a.listener.RejectNew()
+				a.farEnds.Close()
 				a.callers.Close()
-				a.loop.After(termFlush, a.end)
+				a.loop.After(flushDelay, a.stop)
 			}
-			var look func()
-			look = func() {
+			var poll func()
+			poll = func() {
 				if a.core.OpenCalls() == 0 && a.callers.OpenCalls() == 0 {
-					over()
+					closeAll()
 					return
 				}
-				a.loop.After(termLook, look)
+				a.loop.After(openCallsPollInterval, poll)
 			}
-			a.loop.After(termStay, look)
-			a.loop.After(longest+termLeave, a.callers.RefuseNewCalls)
-			a.loop.After(longest+termClear, a.core.FailPending)
-			a.loop.After(longest+termOver, over)
+			a.loop.After(minShutdownTime, poll)
+			a.loop.After(longest+refuseDelay, a.callers.RefuseNewCalls)
+			a.loop.After(longest+failPendingDelay, a.core.FailPending)
+			a.loop.After(longest+closeDelay, closeAll)
 		})
 	})
 }
 
-// Kill ends the agent at once.
-func (a *App) Kill() { a.end() }
+// Kill stops the agent immediately.
+func (a *App) Kill() { a.stop() }
--- a/internal/app/play_test.go
+++ b/internal/app/play_test.go
@@ -135,8 +135,8 @@
 	if p.app != nil {
 		p.app.Kill()
 		<-p.done
-		for _, c := range p.app.M.All() {
-			if (c == p.app.M.Violations || c == p.app.M.Panics) && c.Value() != 0 {
+		for _, c := range p.app.Metrics.All() {
+			if (c == p.app.Metrics.Violations || c == p.app.Metrics.Panics) && c.Value() != 0 {
 				p.Errorf("%s is %d", c.Name, c.Value())
 			}
 		}
@@ -456,7 +456,7 @@
 		p.count(words[1], atoi(p, words[2]))
 		return
 	case "term":
-		p.app.Term()
+		p.app.Shutdown()
 		return
 	case "ended":
 		select {
@@ -596,7 +596,7 @@
 func (p *player) count(name string, want int) {
 	p.Helper()
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		for _, c := range p.app.M.All() {
+		for _, c := range p.app.Metrics.All() {
 			if c.Name == name {
 				if c.Value() == int64(want) {
 					return
