--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill plays controllers on the simulator's wire: batches on standard input, replies on standard output.
+// Command drill runs controllers for the simulator: it reads batches of events in the simulator's wire format from standard
+// input and writes the controllers' actions as replies to standard output.
 package main
 
 import (
@@ -19,33 +20,33 @@
 	}
 }
 
-// run plays batches until the input ends. A reply is written whole or not at all.
+// run handles batches until the input ends. Each reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	w := bufio.NewWriterSize(out, 1<<16)
-	dec := &wire.Decoder{}
-	// A killed controller stays known, with a nil value: what is still said to it is dropped.
+	decoder := &wire.Decoder{}
+	// A killed controller stays in the map with a nil value, and events that are still sent to it are dropped.
 	controllers := map[uint32]*tinbeam.Controller{}
 	var reply []byte
 	var actions []tinbeam.Action
-	for frames := 0; ; frames++ {
+	for frameNum := 0; ; frameNum++ {
 		frame, err := wire.ReadFrame(r)
 		if err == io.EOF {
 			return nil
 		}
 		var batch wire.Batch
 		if err == nil {
-			batch, err = dec.Decode(frame)
+			batch, err = decoder.Decode(frame)
 		}
 		if err != nil {
-			return fmt.Errorf("frame %d: %w", frames, err)
+			return fmt.Errorf("frame %d: %w", frameNum, err)
 		}
 		reply = wire.BeginReply(reply)
 		for i, rec := range batch.Records {
 			if rec.Hello != nil {
 				s, err := wire.ParseSettings(rec.Hello.Settings)
 				if err != nil {
-					return fmt.Errorf("frame %d: record %d, byte %d: %w", frames, i, rec.Offset, err)
+					return fmt.Errorf("frame %d: record %d, byte %d: %w", frameNum, i, rec.Offset, err)
 				}
 				controllers[rec.Controller] = tinbeam.New(s, rec.Hello.Seed)
 				continue
@@ -54,7 +55,7 @@
 			switch {
 			case !known:
 				return fmt.Errorf("frame %d: record %d, byte %d: unknown controller %d",
-					frames, i, rec.Offset, rec.Controller)
+					frameNum, i, rec.Offset, rec.Controller)
 			case rec.Killed:
 				controllers[rec.Controller] = nil
 				continue
@@ -67,15 +68,16 @@
 			}
 		}
 		if _, err := w.Write(wire.EndReply(reply)); err != nil {
-			return fmt.Errorf("frame %d: reply: %w", frames, err)
+			return fmt.Errorf("frame %d: reply: %w", frameNum, err)
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("frame %d: reply: %w", frames, err)
+			return fmt.Errorf("frame %d: reply: %w", frameNum, err)
 		}
 	}
 }
 
-// handle turns a panic of the module into a bail-out: a controller that has lost its footing must say so.
+// handle passes an event to a controller and returns its actions. If the decision module panics, it returns a BailOut action
+// instead, which reports that the controller cannot continue.
 func handle(c *tinbeam.Controller, now time.Duration, e tinbeam.Event,
 	dst []tinbeam.Action) (out []tinbeam.Action) {
 	defer func() {
--- a/cmd/tinbeam/main.go
+++ b/cmd/tinbeam/main.go
@@ -1,4 +1,4 @@
-// Command tinbeam is the call agent.
+// Command tinbeam runs the call agent. Its sub-commands also check a configuration and list the metrics.
 package main
 
 import (
@@ -61,7 +61,7 @@
 	case "version":
 		info, ok := debug.ReadBuildInfo()
 		if !ok {
-			return errors.New("this build bears no version")
+			return errors.New("this build has no version information")
 		}
 		fmt.Fprintln(out, "tinbeam", info.Main.Version, info.GoVersion)
 		return nil
--- a/cmd/tinbeam/main_test.go
+++ b/cmd/tinbeam/main_test.go
@@ -12,66 +12,67 @@
 	"time"
 )
 
-// said is what a command has printed so far.
-type said struct {
+// outputBuffer collects the output of a command. It may be read while the command still writes.
+type outputBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (s *said) Write(b []byte) (int, error) {
+func (s *outputBuffer) Write(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.Write(b)
 }
 
-func (s *said) String() string {
+func (s *outputBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.text.String()
 }
 
-var anyPort = regexp.MustCompile(`"(listen|management)": "[^"]*"`)
+var addrSetting = regexp.MustCompile(`"(listen|management)": "[^"]*"`)
 
-// Guards against a SIGHUP that ends the program: it reads the configuration anew and goes on, until SIGTERM.
+// TestSignals checks that SIGHUP reloads the configuration and does not end the program, and that SIGTERM ends it.
 func TestSignals(t *testing.T) {
-	spare := make(chan os.Signal, 64) // a signal that comes before serve listens must not end the test
-	signal.Notify(spare, syscall.SIGHUP, syscall.SIGUSR1)
-	defer signal.Stop(spare)
+	caught := make(chan os.Signal, 64) // a signal that arrives before serve handles signals must not end the test process
+	signal.Notify(caught, syscall.SIGHUP, syscall.SIGUSR1)
+	defer signal.Stop(caught)
 	config := filepath.Join(t.TempDir(), "config.json")
 	raw, err := os.ReadFile("../../deploy/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(config, []byte(anyPort.ReplaceAllString(string(raw), `"$1": "127.0.0.1:0"`)), 0o600); err != nil {
+	if err := os.WriteFile(config, []byte(addrSetting.ReplaceAllString(string(raw), `"$1": "127.0.0.1:0"`)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	t.Setenv("BALANCER_LISTEN", "")
 	t.Setenv("BALANCER_MANAGEMENT", "")
 	t.Setenv("BALANCER_PASSED_SOCKET", "")
-	var out said
-	ended := make(chan error, 1)
-	go func() { ended <- run([]string{"serve", "-c", config, "-l", "error"}, &out) }()
+	var out outputBuffer
+	result := make(chan error, 1)
+	go func() { result <- run([]string{"serve", "-c", config, "-l", "error"}, &out) }()
 	reloaded := regexp.MustCompile(`(?m)^tinbeam_reloads_total [1-9]`)
-	for end := time.Now().Add(20 * time.Second); !reloaded.MatchString(out.String()); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("the configuration was not read anew\n%s", out.String())
+	for deadline := time.Now().Add(20 * time.Second); !reloaded.MatchString(out.String()); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("the configuration was not reloaded\n%s", out.String())
 		}
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
 		syscall.Kill(os.Getpid(), syscall.SIGUSR1)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 }
 
+// TestCommands checks the output or the error of each sub-command. Errors are single lines.
 func TestCommands(t *testing.T) {
 	config := "../../deploy/config.json"
 	broken := filepath.Join(t.TempDir(), "broken.json")
 	if err := os.WriteFile(broken, []byte(`{"listen": 5}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ args, says, fails string }{
+	for _, c := range []struct{ args, wantOutput, wantError string }{
 		{"version", "tinbeam ", ""},
 		{"help", "check-config", ""},
 		{"--help", "check-config", ""},
@@ -90,11 +91,11 @@
 		t.Setenv("BALANCER_CONFIG", "")
 		var out strings.Builder
 		err := run(strings.Fields(c.args), &out)
-		if (err != nil) != (c.fails != "") || !strings.Contains(out.String(), c.says) {
+		if (err != nil) != (c.wantError != "") || !strings.Contains(out.String(), c.wantOutput) {
 			t.Errorf("%s: %v\n%s", c.args, err, out.String())
 		}
-		if err != nil && (!strings.Contains(err.Error(), c.fails) || strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%s: %q is not one line that says %q", c.args, err, c.fails)
+		if err != nil && (!strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n")) {
+			t.Errorf("%s: error %q is not a single line that contains %q", c.args, err, c.wantError)
 		}
 	}
 }
--- a/cmd/tinbeam/serve.go
+++ b/cmd/tinbeam/serve.go
@@ -20,26 +20,26 @@
 
 func newLog(level string) (*zap.Logger, error) {
 	cfg := zap.NewProductionConfig()
-	lv, err := zapcore.ParseLevel(level)
+	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, fmt.Errorf("log level: %w", err)
 	}
-	cfg.Level = zap.NewAtomicLevelAt(lv)
+	cfg.Level = zap.NewAtomicLevelAt(parsed)
 	cfg.OutputPaths, cfg.ErrorOutputPaths = []string{"stderr"}, []string{"stderr"}
 	return cfg.Build()
 }
 
-// limits fits the runtime to the machine: one core, and a heap well under the limit on memory, since what the kernel
-// and the stacks hold counts too.
-func limits(memoryMB int) {
+// setRuntimeLimits adapts the Go runtime to the machine, which has one core. The Go memory limit is well below the memory limit
+// of the process, because memory held by the kernel and the stacks counts towards the latter too.
+func setRuntimeLimits(memoryMB int) {
 	if memoryMB <= 0 {
 		memoryMB = 192
 	}
 	debug.SetMemoryLimit(int64(memoryMB) << 20 * 6 / 10)
-	runtime.GOMAXPROCS(2) // one for the core's goroutine, one for the poller, which would else wait for it
+	runtime.GOMAXPROCS(2) // one for the core's goroutine and one for the network poller, which would otherwise wait for it
 }
 
-func load(o options) (*config.Config, *config.Operator, error) {
+func loadConfig(o options) (*config.Config, *config.Operator, error) {
 	if o.config == "" {
 		return nil, nil, errors.New("no configuration: name one with --config or BALANCER_CONFIG")
 	}
@@ -52,7 +52,7 @@
 }
 
 func checkConfig(o options, out io.Writer) error {
-	c, op, err := load(o)
+	c, op, err := loadConfig(o)
 	if err != nil {
 		return err
 	}
@@ -77,11 +77,12 @@
 	return nil
 }
 
-// serve runs the agent. The counters are printed on SIGUSR1 and at the end; SIGHUP reads the configuration anew.
+// serve runs the agent until it has shut down. SIGTERM and SIGINT start the shutdown, SIGHUP reloads the configuration, and
+// SIGUSR1 prints the counters, which are also printed at the end.
 func serve(o options, out io.Writer) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
-	cfg, op, err := load(o)
+	cfg, op, err := loadConfig(o)
 	if err != nil {
 		return err
 	}
@@ -91,7 +92,7 @@
 	}
 	defer log.Sync()
 	log = log.With(zap.String("agent", cfg.Name))
-	limits(cfg.MemoryMB)
+	setRuntimeLimits(cfg.MemoryMB)
 	a, err := app.New(cfg, op, log)
 	if err != nil {
 		return err
@@ -104,7 +105,7 @@
 			case syscall.SIGHUP:
 				a.Reload(func(present *config.Config) (*config.Config, error) { return config.Reload(o.config, present) })
 			default:
-				log.Info("ending", zap.String("signal", s.String()))
+				log.Info("shutting down", zap.String("signal", s.String()))
 				a.Shutdown()
 			}
 		}
