--- a/internal/app/play_test.go
+++ b/internal/app/play_test.go
@@ -23,9 +23,9 @@
 	"tinbeam/internal/config"
 )
 
-// says has the messages that most exchanges begin and end with, ID standing for the call; '->' or '<-' tells which way
-// they go.
-var says = map[string]string{
+// standardMessages holds the messages that most scripts use to set up and release calls. ID stands for the ID of the call.
+// The first two characters give the direction: '->' is sent to the program, '<-' is received from it.
+var standardMessages = map[string]string{
 	"tests":  "->OPTIONS sip:ping@net SIP/2.0\nVia: SIP/2.0/TCP peer\nCall-ID: ID\nCSeq: 1 OPTIONS\nContent-Length: 0\n",
 	"passed": "<-SIP/2.0 200 OK\nVia: SIP/2.0/TCP peer\nCall-ID: ID\nCSeq: 1 OPTIONS\nContent-Length: 0\n",
 	"offers": "->INVITE sip:7f3a9c21e0b4d655@net SIP/2.0\nVia: SIP/2.0/TCP peer\nCall-ID: ID\nCSeq: 1 INVITE\n" +
@@ -44,33 +44,35 @@
 		"Content-Length: 0\n",
 }
 
-// patience only ends a test that hangs; nothing is judged by how long it took.
-const patience = 20 * time.Second
+// testTimeout only ends a test that hangs. No test passes or fails because of the time that something took.
+const testTimeout = 20 * time.Second
 
-// TestPlay plays each recorded exchange of testdata against the whole program on loopback sockets. A script has one step
-// for each line that begins with '@', with the text of the step below it:
+// TestPlay plays each script of testdata against the whole program on loopback sockets. Each line of a script that begins
+// with '@' is a step; the lines below it are the text of the step:
 //
-//	@ far NAME place=N          a far end, which greets each connection with the text
-//	@ gateway NAME place=N ...  an MGCP gateway
-//	@ route PREFIX PLACE        numbers of gateways' callers
-//	@ start                     the program
-//	@ NAME ->                   NAME (a caller where it is none of the above) sends the text
-//	@ NAME =>                   the same on all its connections
-//	@ NAME <-                   NAME receives just the text next; {x} takes or repeats a value, {?} takes any
-//	@ NAME half TEXT            NAME sends the text on all its connections, and no end of line
-//	@ NAME SAYS ID              one of the messages of says, for the call
-//	@ NAME again                the last datagram that NAME received comes once more
-//	@ NAME close                its connections end
-//	@ NAME shut                 and no new ones are taken
-//	@ list NAME STATE ...       the change log tells of a far end: 0 ready, 1 draining, 2 gone
-//	@ resumed N                 the program opens the change log anew and names N as the last event that it has
-//	@ skip                      the change log's next event is lost
-//	@ repeat                    its last event comes once more
-//	@ reload                    the program is told of a new change log; @ reload bad: of a file that cannot be read
-//	@ asks METHOD PATH CODE     operators call the program, and it answers with the code; the text is in the answer
-//	@ setting KEY VALUE         a setting that is not as in settings.json
-//	@ count COUNTER N           the counter comes to N
-//	@ term                      the program is told to end; @ ended waits for it
+//	@ far NAME place=N          starts a far end at exchange number N; it sends the text on each new connection
+//	@ gateway NAME place=N ...  starts an MGCP gateway at exchange number N
+//	@ route PREFIX PLACE        routes numbers that gateways' callers dial to the exchange number PLACE
+//	@ start                     starts the program
+//	@ NAME ->                   NAME sends the text; an unknown NAME is a new caller
+//	@ NAME =>                   NAME sends the text on all its connections
+//	@ NAME <-                   NAME receives exactly the text next; {x} stores a value or must equal the stored one, {?}
+//	                            matches any value
+//	@ NAME half TEXT            NAME sends the text on all its connections, without an end of line
+//	@ NAME MESSAGE ID           NAME sends or receives one of standardMessages for the call ID
+//	@ NAME again                NAME receives a retransmission of the last datagram
+//	@ NAME close                closes NAME's connections
+//	@ NAME shut                 closes NAME's connections and stops listening
+//	@ NAME closed               waits until a connection of NAME has been closed
+//	@ list NAME STATE ...       the change log reports the state of a far end: 0 ready, 1 draining, 2 gone
+//	@ resumed N                 the program connects to the change log again and gives N as the last event that it has
+//	@ skip                      the next event of the change log is lost
+//	@ repeat                    the change log sends its last event again
+//	@ reload                    the program reloads its configuration, with a new change log; @ reload bad: reading fails
+//	@ asks METHOD PATH CODE     an operator's HTTP request, which is answered with CODE and a body that contains the text
+//	@ setting KEY VALUE         replaces a value of settings.json
+//	@ count COUNTER N           waits until the counter has the value N
+//	@ term                      starts the shutdown of the program; @ ended waits until it has ended
 func TestPlay(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -88,49 +90,52 @@
 	}
 }
 
+// player plays one script against one program.
 type player struct {
 	*testing.T
-	mu       sync.Mutex
-	cond     *sync.Cond
-	parts    map[string]*part
-	vars     map[string]string
-	app      *App
-	cfg      *config.Config
-	event    []byte // the change log's last
-	log      *part
-	seq      uint64
-	known    []any
-	set      [][2]string
-	gateways []any
-	routes   []any
-	done     chan struct{}
+	mu        sync.Mutex
+	cond      *sync.Cond
+	peers     map[string]*peer
+	vars      map[string]string // values of placeholders
+	app       *App
+	cfg       *config.Config
+	lastEvent []byte // the last event of the change log
+	changeLog *peer
+	seq       uint64      // sequence number of the latest event, sent or skipped
+	instances []any       // the far ends listed in the configuration
+	settings  [][2]string // keys and values that replace those of settings.json
+	gateways  []any
+	routes    []any
+	done      chan struct{} // closed when the program has ended
 }
 
-// part is one party of the exchange.
-type part struct {
-	p      *player
-	name   string
-	far    bool
-	id     uint32
-	place  int
-	ln     net.Listener
-	udp    *net.UDPConn
-	greet  string
-	conns  []net.Conn
-	in     []byte
-	grams  [][]byte
-	seen   map[string]int
-	last   string
-	closed bool
+// peer is one peer of the program in a script: a caller, a far end, a gateway or the change log.
+type peer struct {
+	p             *player
+	name          string
+	isFarEnd      bool
+	id            uint32
+	exchange      int // exchange number of a far end
+	listener      net.Listener
+	udp           *net.UDPConn
+	greeting      string
+	conns         []net.Conn
+	received      []byte         // not yet matched by a step
+	datagrams     [][]byte       // not yet matched by a step
+	timesReceived map[string]int // by datagram
+	lastDatagram  string
+	closed        bool
 }
 
+// newPlayer returns a player whose program and peers are stopped at the end of the test.
 func newPlayer(t *testing.T) *player {
-	p := &player{T: t, parts: map[string]*part{}, vars: map[string]string{}, done: make(chan struct{})}
+	p := &player{T: t, peers: map[string]*peer{}, vars: map[string]string{}, done: make(chan struct{})}
 	p.cond = sync.NewCond(&p.mu)
 	t.Cleanup(p.stop)
 	return p
 }
 
+// stop stops the program and all peers. It fails the test if the program counted a violated invariant or a panic.
 func (p *player) stop() {
 	if p.app != nil {
 		p.app.Kill()
@@ -141,19 +146,20 @@
 			}
 		}
 	}
-	for _, x := range p.parts {
+	for _, x := range p.peers {
 		x.close(true)
 	}
 }
 
-func (p *player) listen(name string, as part) *part {
+// listen adds a peer that accepts connections of the program.
+func (p *player) listen(name string, template peer) *peer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		p.Fatal(err)
 	}
-	x := &as
-	x.p, x.name, x.ln = p, name, ln
-	p.parts[name] = x
+	x := &template
+	x.p, x.name, x.listener = p, name, ln
+	p.peers[name] = x
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -166,31 +172,32 @@
 	return x
 }
 
-func (x *part) attach(c net.Conn) {
+// attach adds a connection to the peer, sends the greeting and reads what arrives.
+func (x *peer) attach(c net.Conn) {
 	x.p.mu.Lock()
 	x.conns = append(x.conns, c)
-	greet := x.greet
+	greeting := x.greeting
 	x.p.cond.Broadcast()
 	x.p.mu.Unlock()
-	if greet != "" {
-		c.Write([]byte(greet))
+	if greeting != "" {
+		c.Write([]byte(greeting))
 	}
 	go func() {
 		buf := make([]byte, 4096)
-		var line []byte // a far end's connections are read together, line by line
+		var data []byte // all connections of a far end share one input, to which only complete lines are added
 		for {
 			n, err := c.Read(buf)
 			x.p.mu.Lock()
-			line = append(line, buf[:n]...)
-			keep := 0
-			if x.far {
-				keep = len(line) - (bytes.LastIndexByte(line, '\n') + 1)
+			data = append(data, buf[:n]...)
+			partial := 0
+			if x.isFarEnd {
+				partial = len(data) - (bytes.LastIndexByte(data, '\n') + 1)
 			}
-			x.in = append(x.in, line[:len(line)-keep]...)
-			line = append(line[:0], line[len(line)-keep:]...)
+			x.received = append(x.received, data[:len(data)-partial]...)
+			data = append(data[:0], data[len(data)-partial:]...)
 			if err != nil {
-				for i, o := range x.conns {
-					if o == c {
+				for i, other := range x.conns {
+					if other == c {
 						x.conns = append(x.conns[:i], x.conns[i+1:]...)
 						break
 					}
@@ -207,11 +214,12 @@
 	}()
 }
 
-func (x *part) close(shut bool) {
-	if shut && x.ln != nil {
-		x.ln.Close()
+// close resets the connections of the peer and, if asked to, closes its listening socket too.
+func (x *peer) close(stopListening bool) {
+	if stopListening && x.listener != nil {
+		x.listener.Close()
 	}
-	if shut && x.udp != nil {
+	if stopListening && x.udp != nil {
 		x.udp.Close()
 	}
 	x.p.mu.Lock()
@@ -223,81 +231,83 @@
 	}
 }
 
-// wait waits until cond holds, which is called locked.
-func (p *player) wait(what string, cond func() bool) {
+// waitFor waits until cond returns true. cond is called with the lock held.
+func (p *player) waitFor(what string, cond func() bool) {
 	p.Helper()
-	deadline := time.Now().Add(patience)
-	timer := time.AfterFunc(patience, func() { p.cond.Broadcast() })
+	deadline := time.Now().Add(testTimeout)
+	timer := time.AfterFunc(testTimeout, func() { p.cond.Broadcast() })
 	defer timer.Stop()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for !cond() {
 		if time.Now().After(deadline) {
-			got := ""
-			for _, x := range p.parts {
-				got += fmt.Sprintf("\n%s has %q %q", x.name, x.in, x.grams)
+			unread := ""
+			for _, x := range p.peers {
+				unread += fmt.Sprintf("\n%s has unread input %q %q", x.name, x.received, x.datagrams)
 			}
-			p.Fatalf("%s: did not come; %s", what, got)
+			p.Fatalf("%s: timed out; %s", what, unread)
 		}
 		p.cond.Wait()
 	}
 }
 
-func (p *player) party(name string) *part {
-	x := p.parts[name]
+// peer returns the peer of this name. If there is none, it connects a new caller.
+func (p *player) peer(name string) *peer {
+	x := p.peers[name]
 	if x == nil {
 		c, err := net.Dial("tcp", p.app.Addr())
 		if err != nil {
 			p.Fatal(err)
 		}
-		x = &part{p: p, name: name}
-		p.parts[name] = x
+		x = &peer{p: p, name: name}
+		p.peers[name] = x
 		x.attach(c)
 	}
 	return x
 }
 
-var hole = regexp.MustCompile(`\{[?a-z0-9]+\}`)
+var placeholder = regexp.MustCompile(`\{[?a-z0-9]+\}`)
 
-// fill puts in the values taken so far.
-func (p *player) fill(text string) string {
-	return hole.ReplaceAllStringFunc(text, func(h string) string {
-		v, ok := p.vars[h]
+// substitute replaces the placeholders in text with the values stored so far.
+func (p *player) substitute(text string) string {
+	return placeholder.ReplaceAllStringFunc(text, func(name string) string {
+		v, ok := p.vars[name]
 		if !ok {
-			p.Fatalf("%s has no value yet", h)
+			p.Fatalf("%s has no value yet", name)
 		}
 		return v
 	})
 }
 
-// pattern makes an expression of an expected text, and tells which values its groups take.
+// pattern returns a regular expression that matches the expected text, and the names of the values that its groups capture.
 func (p *player) pattern(text, tail string) (*regexp.Regexp, []string) {
 	var expr strings.Builder
 	var names []string
 	expr.WriteString(`\A`)
 	for {
-		at := hole.FindStringIndex(text)
-		if at == nil {
+		loc := placeholder.FindStringIndex(text)
+		if loc == nil {
 			break
 		}
-		h := text[at[0]:at[1]]
-		expr.WriteString(regexp.QuoteMeta(text[:at[0]]))
-		if v, ok := p.vars[h]; ok {
+		name := text[loc[0]:loc[1]]
+		expr.WriteString(regexp.QuoteMeta(text[:loc[0]]))
+		if v, ok := p.vars[name]; ok {
 			expr.WriteString(regexp.QuoteMeta(v))
 		} else {
-			if names = append(names, h); h == "{?}" {
+			if names = append(names, name); name == "{?}" {
 				expr.WriteString(`([^\r\n"]*)`)
 			} else {
 				expr.WriteString(`([^\r\n",]*)`)
 			}
 		}
-		text = text[at[1]:]
+		text = text[loc[1]:]
 	}
 	expr.WriteString(regexp.QuoteMeta(text) + tail)
 	return regexp.MustCompile(expr.String()), names
 }
 
-func (p *player) take(names []string, groups [][]byte) {
+// setVars stores the values that a match captured.
+func (p *player) setVars(names []string, groups [][]byte) {
 	for i, n := range names {
 		if n != "{?}" {
 			p.vars[n] = string(groups[i+1])
@@ -305,24 +315,26 @@
 	}
 }
 
-var length = regexp.MustCompile(`Content-Length: \*`)
+var contentLengthStar = regexp.MustCompile(`Content-Length: \*`)
 
-func (x *part) text(lines []string) string {
-	end := "\r\n"
-	if x.far {
-		end = "\n"
+// render joins lines with the line end of the peer's protocol, and fills in a Content-Length that is given as "*".
+func (x *peer) render(lines []string) string {
+	lineEnd := "\r\n"
+	if x.isFarEnd {
+		lineEnd = "\n"
 	}
 	text := ""
 	for _, l := range lines {
-		text += l + end
+		text += l + lineEnd
 	}
 	if _, body, ok := strings.Cut(text, "\r\n\r\n"); ok {
-		text = length.ReplaceAllString(text, "Content-Length: "+strconv.Itoa(len(body)))
+		text = contentLengthStar.ReplaceAllString(text, "Content-Length: "+strconv.Itoa(len(body)))
 	}
 	return text
 }
 
-func options(words []string) map[string]string {
+// keyValues parses words of the form key=value.
+func keyValues(words []string) map[string]string {
 	m := map[string]string{}
 	for _, w := range words {
 		k, v, _ := strings.Cut(w, "=")
@@ -331,6 +343,7 @@
 	return m
 }
 
+// play runs the steps of a script. Comment lines at the end of a step's text do not belong to it.
 func (p *player) play(script string) {
 	var words, text []string
 	flush := func() {
@@ -353,16 +366,17 @@
 	flush()
 }
 
+// step runs one step with its text.
 func (p *player) step(words, text []string) {
 	p.Helper()
 	what := strings.Join(words, " ")
 	switch words[0] {
 	case "far":
-		as := part{far: true, place: atoi(p, options(words[2:])["place"]), id: uint32(len(p.parts) + 1)}
-		as.greet = as.text(text)
-		x := p.listen(words[1], as)
-		p.known = append(p.known, map[string]any{"instanceId": fmt.Sprintf("s-%08x", x.id),
-			"hostPort": x.ln.Addr().String(), "zone": "east", "machineType": "std", "cell": x.place,
+		template := peer{isFarEnd: true, exchange: atoi(p, keyValues(words[2:])["place"]), id: uint32(len(p.peers) + 1)}
+		template.greeting = template.render(text)
+		x := p.listen(words[1], template)
+		p.instances = append(p.instances, map[string]any{"instanceId": fmt.Sprintf("s-%08x", x.id),
+			"hostPort": x.listener.Addr().String(), "zone": "east", "machineType": "std", "cell": x.exchange,
 			"lifecycle": "active", "weight": 1, "startedAtMs": 0})
 		return
 	case "gateway":
@@ -370,30 +384,30 @@
 		if err != nil {
 			p.Fatal(err)
 		}
-		x := &part{p: p, name: words[1], udp: conn, seen: map[string]int{}}
-		p.parts[words[1]] = x
-		o := options(words[2:])
+		x := &peer{p: p, name: words[1], udp: conn, timesReceived: map[string]int{}}
+		p.peers[words[1]] = x
+		opts := keyValues(words[2:])
 		p.gateways = append(p.gateways, map[string]any{"name": words[1], "address": conn.LocalAddr().String(),
-			"id": fmt.Sprintf("s-%08x", 0x9000+len(p.gateways)), "place": atoi(p, o["place"]), "answer": o["answer"],
-			"lines": strings.Split(o["lines"], ","), "class": "check"})
-		go x.datagrams()
+			"id": fmt.Sprintf("s-%08x", 0x9000+len(p.gateways)), "place": atoi(p, opts["place"]), "answer": opts["answer"],
+			"lines": strings.Split(opts["lines"], ","), "class": "check"})
+		go x.readDatagrams()
 		return
 	case "route":
 		p.routes = append(p.routes, map[string]any{"prefix": words[1], "place": atoi(p, words[2])})
 		return
 	case "start":
-		p.start()
+		p.startApp()
 		return
 	case "setting":
-		p.set = append(p.set, [2]string{words[1], words[2]})
+		p.settings = append(p.settings, [2]string{words[1], words[2]})
 		return
 	case "reload":
 		cfg, err := *p.cfg, error(nil)
 		if len(words) > 1 {
 			err = errors.New("cannot be read")
 		} else {
-			p.log = p.listen(fmt.Sprint("log", p.seq), part{})
-			cfg.Changelog = p.log.ln.Addr().String()
+			p.changeLog = p.listen(fmt.Sprint("log", p.seq), peer{})
+			cfg.Changelog = p.changeLog.listener.Addr().String()
 		}
 		p.app.Reload(func(*config.Config) (*config.Config, error) { return &cfg, err })
 		return
@@ -402,7 +416,7 @@
 		if err != nil {
 			p.Fatal(err)
 		}
-		got, err := (&http.Client{Timeout: patience}).Do(r)
+		got, err := (&http.Client{Timeout: testTimeout}).Do(r)
 		if err != nil {
 			p.Fatal(err)
 		}
@@ -417,13 +431,13 @@
 		return
 	case "resumed":
 		want := uint64(atoi(p, words[1]))
-		p.wait(what, func() bool {
-			for len(p.log.in) >= 8 {
-				got := binary.BigEndian.Uint64(p.log.in)
-				p.log.in = p.log.in[8:]
-				if got >= want { // an earlier number was named where the machine was slow
+		p.waitFor(what, func() bool {
+			for len(p.changeLog.received) >= 8 {
+				got := binary.BigEndian.Uint64(p.changeLog.received)
+				p.changeLog.received = p.changeLog.received[8:]
+				if got >= want { // on a slow machine the program may have named an earlier number before
 					if got > want {
-						p.Errorf("%s: but it names %d", what, got)
+						p.Errorf("%s: the program named event %d", what, got)
 					}
 					return true
 				}
@@ -432,28 +446,28 @@
 		})
 		return
 	case "list":
-		x := p.parts[words[1]]
+		x := p.peers[words[1]]
 		p.seq++
 		var started uint64
-		if o := options(words[3:]); o["id"] != "" {
-			x.id = uint32(atoi(p, o["id"]))
-		} else if o["started"] == "now" {
+		if opts := keyValues(words[3:]); opts["id"] != "" {
+			x.id = uint32(atoi(p, opts["id"]))
+		} else if opts["started"] == "now" {
 			started = uint64(time.Now().UnixMilli())
 		}
-		addr := x.ln.Addr().(*net.TCPAddr)
+		addr := x.listener.Addr().(*net.TCPAddr)
 		b := binary.BigEndian.AppendUint64([]byte{0, 0, 0, 9 + 27}, p.seq)
 		b = binary.BigEndian.AppendUint32(append(b, 2), x.id)
 		b = binary.BigEndian.AppendUint16(append(b, addr.IP.To4()...), uint16(addr.Port))
-		b = binary.BigEndian.AppendUint16(append(b, byte(atoi(p, words[2])), 0, 0), uint16(x.place))
+		b = binary.BigEndian.AppendUint16(append(b, byte(atoi(p, words[2])), 0, 0), uint16(x.exchange))
 		b = binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint32(b, 1000), started)
-		p.event = b
-		p.tell()
+		p.lastEvent = b
+		p.sendEvent()
 		return
 	case "repeat":
-		p.tell()
+		p.sendEvent()
 		return
 	case "count":
-		p.count(words[1], atoi(p, words[2]))
+		p.waitForCounter(words[1], atoi(p, words[2]))
 		return
 	case "term":
 		p.app.Shutdown()
@@ -461,14 +475,14 @@
 	case "ended":
 		select {
 		case <-p.done:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			p.Fatal("the program did not end")
 		}
 		return
 	}
-	x := p.party(words[0])
-	if m, ok := says[words[1]]; ok {
-		id := p.fill(words[2])
+	x := p.peer(words[0])
+	if m, ok := standardMessages[words[1]]; ok {
+		id := p.substitute(words[2])
 		text = strings.Split(strings.NewReplacer("Call-ID: ID", "Call-ID: "+id, `"ID"`, `"`+id+`"`).Replace(m[2:]), "\n")
 		words = []string{words[0], m[:2], words[2]}
 	}
@@ -478,31 +492,31 @@
 	case "shut":
 		x.close(true)
 	case "closed":
-		p.wait(what, func() bool { return x.closed })
+		p.waitFor(what, func() bool { return x.closed })
 	case "->":
-		b := []byte(p.fill(x.text(text)))
+		b := []byte(p.substitute(x.render(text)))
 		if x.udp != nil {
 			to, _ := net.ResolveUDPAddr("udp", p.app.GatewayAddr())
 			x.udp.WriteTo(b, to)
 			return
 		}
-		p.wait(what, func() bool { return len(x.conns) > 0 })
+		p.waitFor(what, func() bool { return len(x.conns) > 0 })
 		p.mu.Lock()
 		c := x.conns[0]
 		p.mu.Unlock()
 		c.Write(b)
 	case "=>":
-		p.wait(what, func() bool { return len(x.conns) > 1 })
+		p.waitFor(what, func() bool { return len(x.conns) > 1 })
 		p.mu.Lock()
 		conns := append([]net.Conn(nil), x.conns...)
 		p.mu.Unlock()
 		for _, c := range conns {
-			c.Write([]byte(p.fill(x.text(text))))
+			c.Write([]byte(p.substitute(x.render(text))))
 		}
 	case "<-":
-		x.expect(what, x.text(text))
+		x.expect(what, x.render(text))
 	case "half":
-		p.wait(what, func() bool { return len(x.conns) > 1 || !x.far })
+		p.waitFor(what, func() bool { return len(x.conns) > 1 || !x.isFarEnd })
 		p.mu.Lock()
 		conns := append([]net.Conn(nil), x.conns...)
 		p.mu.Unlock()
@@ -510,39 +524,40 @@
 			c.Write([]byte(strings.Join(words[2:], " ")))
 		}
 	case "again":
-		p.wait(what, func() bool { return x.seen[x.last] > 1 })
+		p.waitFor(what, func() bool { return x.timesReceived[x.lastDatagram] > 1 })
 		p.mu.Lock()
-		x.seen[x.last]--
+		x.timesReceived[x.lastDatagram]--
 		p.mu.Unlock()
 	default:
-		p.Fatalf("no such step: %s", what)
+		p.Fatalf("unknown step: %s", what)
 	}
 }
 
-// tell writes the change log's last event.
-func (p *player) tell() {
+// sendEvent sends the last event of the change log.
+func (p *player) sendEvent() {
 	p.Helper()
-	p.wait("the change log's reader", func() bool { return len(p.log.conns) > 0 })
+	p.waitFor("connection of the change-log client", func() bool { return len(p.changeLog.conns) > 0 })
 	p.mu.Lock()
-	c := p.log.conns[len(p.log.conns)-1] // an older one may be closed already
+	c := p.changeLog.conns[len(p.changeLog.conns)-1] // older connections may have been closed
 	p.mu.Unlock()
-	c.Write(p.event)
+	c.Write(p.lastEvent)
 }
 
-func (x *part) expect(what, text string) {
+// expect waits until the peer receives the expected text. What follows the text stays in the input.
+func (x *peer) expect(what, text string) {
 	x.p.Helper()
 	tail := ""
 	if x.udp != nil {
 		tail = `\z`
 	}
 	expr, names := x.p.pattern(text, tail)
-	x.p.wait(what+"\n"+expr.String(), func() bool {
-		in := x.in
+	x.p.waitFor(what+"\n"+expr.String(), func() bool {
+		in := x.received
 		if x.udp != nil {
-			if len(x.grams) == 0 {
+			if len(x.datagrams) == 0 {
 				return false
 			}
-			in = x.grams[0]
+			in = x.datagrams[0]
 		}
 		m := expr.FindSubmatch(in)
 		if m == nil {
@@ -552,23 +567,23 @@
 			}
 			return false
 		}
-		x.p.take(names, m)
+		x.p.setVars(names, m)
 		if x.udp != nil {
-			x.last = string(in)
-			x.grams = x.grams[1:]
+			x.lastDatagram = string(in)
+			x.datagrams = x.datagrams[1:]
 		} else {
-			x.in = x.in[len(m[0]):]
+			x.received = x.received[len(m[0]):]
 		}
 		return true
 	})
 }
 
-// confirms is what a command says of responses heard before. Which they are is a matter of time too: the transaction
-// layer has a test of its own for it.
-var confirms = regexp.MustCompile(`(?m)^K: [0-9,]+\r\n`)
+// responseAcks matches the parameter of a command that acknowledges earlier responses. Which responses it lists depends on
+// timing, so it is left out here; the transaction layer has its own test for it.
+var responseAcks = regexp.MustCompile(`(?m)^K: [0-9,]+\r\n`)
 
-// datagrams keeps each datagram once: whether one is sent again before its answer has come is a matter of time.
-func (x *part) datagrams() {
+// readDatagrams keeps each datagram once, because it depends on timing whether one is retransmitted before its answer arrives.
+func (x *peer) readDatagrams() {
 	buf := make([]byte, 1<<16)
 	for {
 		n, err := x.udp.Read(buf)
@@ -576,9 +591,9 @@
 			return
 		}
 		x.p.mu.Lock()
-		b := confirms.ReplaceAll(buf[:n], nil)
-		if x.seen[string(b)]++; x.seen[string(b)] == 1 {
-			x.grams = append(x.grams, b)
+		b := responseAcks.ReplaceAll(buf[:n], nil)
+		if x.timesReceived[string(b)]++; x.timesReceived[string(b)] == 1 {
+			x.datagrams = append(x.datagrams, b)
 		}
 		x.p.cond.Broadcast()
 		x.p.mu.Unlock()
@@ -588,41 +603,43 @@
 func atoi(p *player, s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil {
-		p.Fatalf("%q is no number", s)
+		p.Fatalf("%q is not a number", s)
 	}
 	return n
 }
 
-func (p *player) count(name string, want int) {
+// waitForCounter waits until the counter has the wanted value.
+func (p *player) waitForCounter(name string, want int) {
 	p.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		for _, c := range p.app.Metrics.All() {
 			if c.Name == name {
 				if c.Value() == int64(want) {
 					return
 				}
-				if time.Now().After(end) {
-					p.Fatalf("%s is %d, not %d", name, c.Value(), want)
+				if time.Now().After(deadline) {
+					p.Fatalf("%s is %d, want %d", name, c.Value(), want)
 				}
 			}
 		}
 	}
 }
 
-func (p *player) start() {
-	p.log = p.listen("log", part{})
+// startApp starts the program with the far ends, gateways, routes and settings given so far.
+func (p *player) startApp() {
+	p.changeLog = p.listen("log", peer{})
 	p.seq = 1
 	raw, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
 		p.Fatal(err)
 	}
-	for _, kv := range p.set {
+	for _, kv := range p.settings {
 		raw = regexp.MustCompile(`"`+kv[0]+`": [^,}]*`).ReplaceAll(raw, []byte(`"`+kv[0]+`": `+kv[1]))
 	}
 	conf, _ := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0", "management": "127.0.0.1:0", "seed": "1",
-		"changelog": p.log.ln.Addr().String(), "settings": json.RawMessage(raw),
+		"changelog": p.changeLog.listener.Addr().String(), "settings": json.RawMessage(raw),
 		"known": map[string]any{"seq": 1, "results": []any{map[string]any{"seq": 1,
-			"fleet": map[string]any{"generation": 1, "reset": true, "instances": p.known}}}}})
+			"fleet": map[string]any{"generation": 1, "reset": true, "instances": p.instances}}}}})
 	cfg, err := config.Parse(conf)
 	if err != nil {
 		p.Fatal(err)
