--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -26,7 +26,7 @@
 	readyTimeout          = time.Second            // the agent accepts calls after this at the latest, whatever it could reach
 	minShutdownTime       = 800 * time.Millisecond // least time from SIGTERM to the end: callers send requests for another 0.6 s
 	maxShutdownDeadline   = 3 * time.Second        // longer call deadlines count as this: SIGKILL follows 0.7 s after it
-	maxHandoverDeadline   = 5 * time.Second        // the same if another process also holds the callers' socket and continues
+	maxHandoverDeadline   = 5 * time.Second        // the same if another process also serves the callers' socket
 	refuseDelay           = 300 * time.Millisecond // after the longest deadline: new calls are refused, 0.4 s before SIGKILL
 	failPendingDelay      = 550 * time.Millisecond // after the longest deadline: calls still pending are failed
 	closeDelay            = 570 * time.Millisecond // after the longest deadline: the connections are closed
