--- a/internal/mgcp/front.go
+++ b/internal/mgcp/front.go
@@ -82,7 +82,7 @@
 	call   *agent.Call  // nil: not offered to the core yet
 	connID string       // ConnectionId at the gateway
 	create *transaction // pending CRCX, or nil
-	ended  bool
+	ended  bool         // the call is over; the line stays in use until the caller goes on hook
 }
 
 // calledLeg is the gateway's side of an attempt towards the gateway.
@@ -92,7 +92,7 @@
 	connID  string // ConnectionId at the gateway
 	sdp     string
 	create  *transaction // pending CRCX, or nil
-	ended   bool
+	ended   bool         // the attempt or the established call is over
 }
 
 // New returns a front end and adds its gateways to the far-end list of the core.
@@ -326,7 +326,7 @@
 			f.handleOnHook(l)
 		case strings.HasPrefix(e, "d/") && len(e) == 3 && l.caller != nil && l.caller.call == nil &&
 			l.caller.create == nil && len(l.caller.digits) < 32:
-			if e[2] != 't' { // not a digit: the gateway's digit timer has expired
+			if e[2] != 't' { // T is not a digit: it means that the gateway's digit timer has expired
 				l.caller.digits += e[2:]
 			}
 		}
@@ -573,7 +573,7 @@
 // Cancel ends an attempt that has not been answered.
 func (f farEndSide) Cancel(a *agent.Attempt) { f.Release(a, 16) }
 
-// Release ends an established attempt.
+// Release releases an established call, and for Cancel one that has not been answered.
 func (f farEndSide) Release(a *agent.Attempt, _ int) {
 	leg, ok := a.Leg.(*calledLeg)
 	if !ok || leg.ended {
--- a/internal/mgcp/message.go
+++ b/internal/mgcp/message.go
@@ -2,7 +2,7 @@
 // callers on the caller side, and far ends of attempts on the far-end side. They use the same core and follow the same
 // rules as all other callers and far ends.
 //
-// This file parses datagrams into messages and encodes messages. It does no input or output and keeps no state.
+// This file parses datagrams into messages and serializes messages. It does no I/O and keeps no state.
 package mgcp
 
 import (
@@ -131,7 +131,7 @@
 	return len(s) == 4
 }
 
-// Append appends the encoded message to dst and returns the result.
+// Append appends the serialized message to dst and returns the result.
 func (m *Message) Append(dst []byte) []byte {
 	if m.Verb != "" {
 		dst = fmt.Appendf(dst, "%s %d %s MGCP 1.0\r\n", m.Verb, m.Tx, m.Endpoint)
--- a/internal/mgcp/mgcp_test.go
+++ b/internal/mgcp/mgcp_test.go
@@ -68,8 +68,8 @@
 
 func TestRetransmitAndConfirm(t *testing.T) {
 	layer, sent, advance := newTestLayer(nil)
-	answers := 0
-	layer.request(gatewayAddr, &Message{Verb: "AUEP", Endpoint: "*@g"}, func(m *Message) { answers++ })
+	responses := 0
+	layer.request(gatewayAddr, &Message{Verb: "AUEP", Endpoint: "*@g"}, func(m *Message) { responses++ })
 	advance(700 * time.Millisecond) // retransmitted at 200 and 600 ms
 	if len(*sent) != 3 {
 		t.Errorf("command sent %d times", len(*sent))
@@ -83,8 +83,8 @@
 	layer.handleDatagram(gatewayAddr, []byte("200 11 OK\nK:\n"))
 	layer.handleDatagram(gatewayAddr, []byte("200 11 OK\nK:\n"))
 	advance(30 * time.Second)
-	if answers != 1 || len(*sent) != 5 || (*sent)[3] != "000 11\r\n" {
-		t.Errorf("%d answers, sent %q", answers, (*sent)[3:])
+	if responses != 1 || len(*sent) != 5 || (*sent)[3] != "000 11\r\n" {
+		t.Errorf("%d responses, sent %q", responses, (*sent)[3:])
 	}
 	layer.request(gatewayAddr, &Message{Verb: "AUEP", Endpoint: "*@g"}, nil)
 	if got := (*sent)[5]; got != "AUEP 12 *@g MGCP 1.0\r\nK: 11\r\n" {
@@ -93,7 +93,7 @@
 }
 
 // Once its call is over, a command must not be retransmitted, but its response is still accepted, and without a response
-// the transaction ends after a time.
+// the transaction ends after T-HIST.
 func TestStopRetransmitting(t *testing.T) {
 	layer, sent, advance := newTestLayer(nil)
 	var got []*Message
--- a/internal/mgcp/transaction.go
+++ b/internal/mgcp/transaction.go
@@ -130,7 +130,7 @@
 	x.timer = t.loop.After(responseTTL, func() { t.retransmit(x) })
 }
 
-// drop ends a transaction without a call of onResponse. A response that arrives later counts as stray.
+// drop ends a transaction without calling onResponse. A response that arrives later counts as stray.
 func (t *transactions) drop(x *transaction) {
 	if x != nil {
 		x.onResponse = nil
@@ -161,7 +161,7 @@
 // handleResponse matches a response to the command it answers.
 func (t *transactions) handleResponse(from netip.AddrPort, m *Message) {
 	if m.Code == 0 {
-		return // a response acknowledgement; the confirmed response stays known until T-HIST, so no command runs twice
+		return // a response acknowledgement; the command stays cached until T-HIST, so it is not executed twice
 	}
 	x := t.pending[m.Tx]
 	if m.Code >= 200 {
