--- a/internal/changelog/changelog.go
+++ b/internal/changelog/changelog.go
@@ -24,7 +24,7 @@
 
 const (
 	entrySize    = 27
-	headerSize   = 9       // event number and kind; the frame's length includes them
+	headerSize   = 9       // sequence number and kind; the frame's length includes them
 	maxFrameSize = 1 << 20 // about 38,000 far ends; a frame with a larger length is malformed
 )
 
@@ -44,7 +44,7 @@
 	Addr string // host:port
 }
 
-// ResumeRequest returns the message that the client sends first: the number of the last event that it has.
+// ResumeRequest returns the message that the client sends first: the sequence number of the last event that it has.
 func ResumeRequest(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
 
 // Parse parses the first frame in b and returns its event with the number of bytes consumed. If b holds no complete frame yet,
@@ -86,8 +86,8 @@
 	return time.Duration(min(max(ms, 0), maxMS)) * time.Millisecond
 }
 
-// ParseKnown parses the events in the configuration's "known" object and the number of the last one. zones holds the names of
-// the zones from the settings; a zone's index is its number, and an unknown name counts as zone 0.
+// ParseKnown parses the events in the configuration's "known" object and the sequence number of the last one. zones holds the
+// names of the zones from the settings; a zone's index is its number, and an unknown name counts as zone 0.
 func ParseKnown(raw []byte, zones []string) (seq uint64, events []Event, err error) {
 	var k struct {
 		Seq     uint64 `json:"seq"`
@@ -124,7 +124,7 @@
 				return 0, nil, fmt.Errorf("known: event %d: %w", r.Seq, err)
 			}
 			if _, err := netip.ParseAddrPort(n.Addr); err != nil {
-				return 0, nil, fmt.Errorf("known: event %d: %s: %q is not a valid address and port", r.Seq, n.ID, n.Addr)
+				return 0, nil, fmt.Errorf("known: event %d: %s: %q is not a valid IP address and port", r.Seq, n.ID, n.Addr)
 			}
 			mode, ok := map[string]tinbeam.Mode{"active": tinbeam.Ready, "leaving": tinbeam.Draining,
 				"left": tinbeam.Gone}[n.Lifecycle]
@@ -145,7 +145,7 @@
 	return k.Seq, events, nil
 }
 
-// ParseID parses the text form of a far end's id.
+// ParseID parses the text form of a far end's ID.
 func ParseID(s string) (uint32, error) {
 	hex, ok := strings.CutPrefix(s, "s-")
 	n, err := strconv.ParseUint(hex, 16, 32)
@@ -155,5 +155,5 @@
 	return uint32(n), nil
 }
 
-// FormatID returns the text form of a far end's id.
+// FormatID returns the text form of a far end's ID.
 func FormatID(id uint32) string { return fmt.Sprintf("s-%08x", id) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	Settings                tinbeam.Settings
 	Zones                   []string // the zones' names, in the order of their numbers
 	ConnectTimeout          time.Duration
-	KnownSeq                uint64            // number of the last change-log event that the configuration contains
+	KnownSeq                uint64            // sequence number of the last change-log event that the configuration contains
 	KnownEvents             []changelog.Event // the change-log events that the configuration contains
 
 	document map[string]any // the whole file, to compare its keys on a reload
@@ -64,8 +64,9 @@
 	return c, nil
 }
 
-// Reload reads the configuration file at path to replace current. If a key that current has is missing, or a call class's hard
-// limit or the maximum number of attempts is not a number above 0, the whole file is refused.
+// Reload reads the configuration file at path to replace current. The whole file is refused if a key that current has is
+// missing, if a call class's hard limit or the maximum number of attempts is not a number above 0, if a class name is empty
+// or used twice, or if the replica index, the local exchange or the shape of the network has changed.
 func Reload(path string, current *Config) (*Config, error) {
 	c, err := Load(path)
 	if err != nil {
--- a/internal/farend/farend.go
+++ b/internal/farend/farend.go
@@ -19,14 +19,14 @@
 
 // The kinds of message.
 const (
-	Launch  = "launch"
-	Staging = "staging"
-	Running = "running"
-	Stop    = "stop"
-	Stopped = "stopped"
-	Check   = "check"
-	Checked = "checked"
-	Usage   = "usage"
+	Launch  = "launch"  // to a far end: sets up a call
+	Staging = "staging" // from a far end, before the final answer; the agent ignores it
+	Running = "running" // from a far end: the call is established
+	Stop    = "stop"    // both ways: ends a set-up or a call, with a cause
+	Stopped = "stopped" // confirms a Stop
+	Check   = "check"   // to a far end: a health check, also used as a load probe
+	Checked = "checked" // the answer to a Check, which may hold a load report
+	Usage   = "usage"   // from a far end, unasked: the state of its circuit group
 )
 
 // The values of the "reason" key: Q.850 causes, and in a Checked message the result of the health check.
@@ -132,7 +132,7 @@
 	return append(dst, buf.Bytes()...)
 }
 
-// OutcomeCode returns the decision module's outcome code for an attempt that this Stop message ends; established tells whether
+// OutcomeCode returns the decision module's outcome code for an attempt that this Stop message ends; established states whether
 // the call had been established before.
 func (m *Message) OutcomeCode(established bool) tinbeam.Code {
 	if established {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 )
 
-// Counter is a metric. Its value only grows, unless Gauge is true: then Set may give it any value.
+// Counter is a counter, whose value only grows, or a gauge if Gauge is true: then its value may also fall, and be set.
 type Counter struct {
 	Name, Help string
 	Gauge      bool
@@ -21,7 +21,7 @@
 // Inc adds one to the value.
 func (c *Counter) Inc() { c.value.Add(1) }
 
-// Add adds n to the value.
+// Add adds n to the value; n may be negative only for a gauge.
 func (c *Counter) Add(n int64) { c.value.Add(n) }
 
 // Set sets the value of a gauge.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// classes returns the classes of call.
+// classes returns the call classes.
 func (kv values) classes() []tinbeam.Class {
 	n := kv.int("classes.count")
 	if n < 0 || n > maxClasses {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -59,7 +59,7 @@
 	Controller uint32
 	Offset     int
 	Hello      *Hello
-	Killed     bool
+	Killed     bool // the simulator has killed the controller; a later Hello may start it again
 	Event      tinbeam.Event
 }
 
@@ -157,7 +157,7 @@
 // f32 reads a 32-bit float. It does not reject values that are not finite: the decision module checks the values of reports.
 func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
 
-// number reads the number of an exchange, which the simulator sends as an f32.
+// number reads an exchange number, which the simulator sends as an f32.
 func (c *cursor) number(field string) int {
 	start := c.offset
 	f := float64(c.f32())
