--- a/controller.go
+++ b/controller.go
@@ -83,8 +83,8 @@
 	g.interval, g.adjustedAt = interval, now
 }
 
-// minAdjustInterval is the least time between two changes of the interval: a stream of few calls gives no
-// new information in less than its own interval.
+// minAdjustInterval returns the least time between two changes of the interval: a stream of few calls gives
+// no new information in less than its own interval.
 func (g *gap) minAdjustInterval(adjustInterval time.Duration) time.Duration {
 	if !g.active {
 		return adjustInterval
@@ -105,14 +105,14 @@
 	r.sum, r.updatedAt = r.sum*math.Exp(-float64(now-r.updatedAt)/float64(averagingTime))+amount, now
 }
 
-// perSecond is the rate, corrected for a history that is shorter than the averaging time.
+// perSecond returns the rate, corrected for a history that is shorter than the averaging time.
 func (r *rate) perSecond(now, averagingTime time.Duration) float64 {
 	observedSeconds := averagingTime.Seconds() *
 		(1 - math.Exp(-float64(now-r.firstAt+averagingTime/10)/float64(averagingTime)))
 	return r.sum * math.Exp(-float64(now-r.updatedAt)/float64(averagingTime)) / observedSeconds
 }
 
-// node is what is known of one far exchange or pool, of the local exchange, or of a whole zone.
+// node holds what is known about one far exchange or pool, about the local exchange, or about a whole zone.
 type node struct {
 	name                    string        // in notes to the operators
 	number                  int           // exchange number; -1: a zone
@@ -124,7 +124,7 @@
 	gap                     gap
 	setUpRate               rate          // set-ups sent to its processor
 	answerSeconds           float64       // smoothed time from a direct set-up to its answer
-	workSeconds             float64       // part of answerSeconds that is work: the least value seen
+	workSeconds             float64       // part of it that is work: the least seen, at most maxWait
 	answeredAt, measuredAt  time.Duration // last answer of any kind; last update of answerSeconds
 	failures                int           // failed set-ups since its last answer
 	unresponsive            bool          // set-ups get no answer: only trial calls are sent
@@ -169,7 +169,7 @@
 	priority     float64 // see serveHeld
 }
 
-// numberState is what is known of a called number that was busy, or to which a call failed.
+// numberState holds what is known about a called number that was busy, or to which a call failed.
 type numberState struct {
 	gap         gap
 	busyCount   int           // times found busy since a call to it was established
@@ -227,8 +227,8 @@
 	return c
 }
 
-// applySettings takes settings, at the start and when they change. What was learnt of exchanges and numbers
-// is kept.
+// applySettings applies settings, at the start and when they change. What was learnt about exchanges and
+// numbers is kept.
 func (c *Controller) applySettings(s Settings) {
 	s.Classes = slices.Clone(s.Classes)
 	s.MaxAttempts, s.Replicas = max(s.MaxAttempts, 1), max(s.Replicas, 2)
@@ -284,7 +284,7 @@
 	return fallback
 }
 
-// Handle takes one event and appends the actions that follow from it.
+// Handle processes one event and appends the actions that follow from it.
 func (c *Controller) Handle(now time.Duration, event Event, out []Action) []Action {
 	c.now, c.actions = now, out
 	switch e := event.(type) {
@@ -310,7 +310,7 @@
 	case Withdrawn:
 		c.forget(c.calls[e.Ref])
 	case TickDue:
-		if e.Handle == 2 {
+		if e.Handle == 2 { // repeats the list request, see handleTopology
 			c.addAction(StreamChanges{Active: true})
 		} else {
 			c.tick()
@@ -347,7 +347,7 @@
 	return nil
 }
 
-// handleTopology takes a list of exchanges or changes to it. An exchange number is served by its ready
+// handleTopology applies a list of exchanges or changes to it. An exchange number is served by its ready
 // machine that started last. A machine that drains or has left gets no set-ups from now on: the grace time
 // that the rule on drains allows is not used.
 func (c *Controller) handleTopology(t Topology) {
@@ -389,7 +389,7 @@
 		case exchange.switchID == entry.Switch && exchange.ready && entry.OnlineSince == exchange.onlineSince:
 		case exchange.switchID != entry.Switch && exchange.ready && entry.OnlineSince < exchange.onlineSince:
 		default:
-			if exchange.switchID != entry.Switch { // nothing learnt of the last machine holds for another one
+			if exchange.switchID != entry.Switch { // what was learnt about the last one does not hold
 				delete(c.numberBySwitch, exchange.switchID)
 				exchange.switchID, exchange.pending, exchange.gap, exchange.failures, exchange.answerSeconds,
 					exchange.measuredAt = entry.Switch, nil, gap{}, 0, 0, 0
@@ -450,7 +450,7 @@
 	}
 }
 
-// handleOffer takes a call.
+// handleOffer handles a new call: it is refused, sent or held.
 func (c *Controller) handleOffer(offer Offer) {
 	offer.Class = min(max(offer.Class, 0), len(c.settings.Classes)-1)
 	offer.Width = positiveOr(offer.Width, c.settings.Classes[offer.Class].Width)
@@ -485,6 +485,7 @@
 	if offer.Flags&(FlagTransit|FlagRedial) != 0 {
 		// These are sent at once or refused at once. A held call in transit would keep circuits of the group
 		// that it came over; a redial is past its answer target, and would take capacity from calls in time.
+		// A redial is therefore also refused while the gap of its destination is active.
 		if dest.gap.active && offer.Flags&FlagTransit == 0 || !c.admit(call) {
 			c.finish(call)
 		}
@@ -498,7 +499,7 @@
 	if c.mustNotRepeat(call) {
 		c.addAction(GiveUp{Ref: call.Ref})
 	} else {
-		// Callers that are refused at the same time would redial at the same time: their pauses differ.
+		// Callers that are refused at the same time would redial at the same time, so RetryAfter is random.
 		c.addAction(Decline{Ref: call.Ref,
 			RetryAfter: time.Duration((0.5 + c.rng.Float64()/2) * float64(c.settings.MaxRetryAfter))})
 	}
@@ -512,7 +513,8 @@
 
 func (c *Controller) class(call *call) *Class { return &c.settings.Classes[call.Class] }
 
-// forget drops all that is kept of a call.
+// forget deletes the state of a call. Where callers do not flag redials, the number of a call that was not
+// established is kept, so that a redial is recognised.
 func (c *Controller) forget(call *call) {
 	if call == nil {
 		return
@@ -585,9 +587,10 @@
 			c.tandemAttemptsLeft(call, 2)) <= 0
 }
 
-// tandemAttemptsLeft is how many attempts over tandems of a kind a call has left. Where most of these tandems
-// return the call, each attempt takes the work of three processors from calls that go direct. So the number
-// falls with the square of the share that succeeds: where two in five succeed, one attempt of four is left.
+// tandemAttemptsLeft returns how many attempts over tandems of a kind a call has left. Where most of these
+// tandems return the call, each attempt takes the work of three processors from calls that go direct. So the
+// number falls with the square of the share that succeeds: where two in five succeed, one attempt of four is
+// left.
 func (c *Controller) tandemAttemptsLeft(call *call, kind int) float64 {
 	return c.tandemSuccess[kind]*c.tandemSuccess[kind]*float64(call.allowed) - 0.5 -
 		float64(len(call.triedTandems))
@@ -734,7 +737,7 @@
 	c.addAction(Attempt{Ref: call.Ref, Switch: nextHop.switchID, Timeout: timeout})
 }
 
-// handleFlowing takes the news that a call is established.
+// handleFlowing handles the report that a call is established.
 func (c *Controller) handleFlowing(event Flowing) {
 	call := c.calls[event.Ref]
 	if call == nil || call.nextHop == nil {
@@ -796,10 +799,10 @@
 	}
 }
 
-// waitLimit is the wait in seconds that means overload where part of the time to an answer is work: the limit
-// less that work, but at least half of the limit. At a small exchange's slow processor the work alone takes
-// longer than the limit, and its streams would be gapped permanently. Trade-off: a processor that is slowed
-// down for a long time is measured against the speed that it had before.
+// waitLimit returns the wait in seconds that means overload where part of the time to an answer is work:
+// maxWait less that work, but at least half of maxWait. At a small exchange's slow processor the work alone
+// takes longer than maxWait, and its streams would be gapped permanently. Trade-off: a processor that is
+// slowed down for a long time is measured against the speed that it had before.
 func (c *Controller) waitLimit(work float64) float64 { return max(c.maxWait-max(work, 0), c.maxWait/2) }
 
 // slow reports whether a set-up waited long at the far exchange: without the work there and without the wait
@@ -843,7 +846,7 @@
 	}
 }
 
-// handleOutcome takes the end of an attempt or of an established call.
+// handleOutcome handles the end of an attempt or of an established call.
 func (c *Controller) handleOutcome(event Outcome) {
 	exchange := c.exchangeBySwitch(event.Switch)
 	if exchange != nil {
@@ -896,10 +899,10 @@
 				c.markBusy(call.Number)
 			}
 			call.holdUntil = c.now // the called line stays busy: no other route helps
-		case note == NoteLinkLost: // tells nothing of the exchange; the next set-up uses another connection
+		case note == NoteLinkLost: // says nothing of the exchange; the next set-up uses another connection
 		case event.Code == Failed:
 			// An error is an answer, and some calls get errors at every exchange. If errors counted as
-			// missing answers, a few such calls would block a sound exchange, and after its recovery its gap
+			// missing answers, a few such calls would block a healthy exchange, and after its recovery its gap
 			// would still be active.
 			call.erred = true
 			if exchange != nil {
@@ -981,7 +984,7 @@
 	number.gap.bank = 0
 }
 
-// stateOfNumber returns what is known of a called number, which for most is nothing.
+// stateOfNumber returns what is known about a called number; for most that is an empty state, not stored.
 func (c *Controller) stateOfNumber(calledNumber uint64) *numberState {
 	if number := c.numbers[calledNumber]; number != nil {
 		return number
@@ -989,7 +992,7 @@
 	return &numberState{}
 }
 
-// handleReport takes a load report. Values that are negative or not finite are skipped.
+// handleReport applies a load report. Values that are negative or not finite are skipped.
 func (c *Controller) handleReport(exchange *node, report []float32) {
 	for i, name := range c.settings.ReportFields[:min(len(report), len(c.settings.ReportFields))] {
 		value := float64(report[i])
@@ -1007,7 +1010,7 @@
 	}
 }
 
-// setUpInterval is the present mean time between set-ups to an exchange; adjustInterval if none was sent.
+// setUpInterval returns the present mean time between set-ups to an exchange; adjustInterval without any.
 func (c *Controller) setUpInterval(exchange *node) time.Duration {
 	if perSecond := exchange.setUpRate.perSecond(c.now, c.averagingTime); perSecond > 0 {
 		return min(max(time.Duration(float64(time.Second)/perSecond), c.adjustInterval/50), c.averagingTime)
@@ -1015,8 +1018,8 @@
 	return c.adjustInterval
 }
 
-// markOverloaded takes a sign of overload at a processor: it activates its gap, and lengthens the interval
-// while the overload lasts. full: the processor refused a set-up.
+// markOverloaded handles a sign of overload at a processor: it activates its gap, and lengthens the
+// interval while the overload lasts. full: the processor refused a set-up.
 func (c *Controller) markOverloaded(exchange *node, full bool) {
 	if exchange.unresponsive {
 		return
--- a/controller_test.go
+++ b/controller_test.go
@@ -83,7 +83,7 @@
 	b.answers[ref] = a
 }
 
-// advance moves the clock forward, with the controller's own timer.
+// advance moves the clock forward in steps of 20 ms, with a tick of the controller at each step.
 func (b *testBench) advance(duration time.Duration) {
 	b.Helper()
 	for end := b.now + duration; b.now < end; {
@@ -92,7 +92,7 @@
 	}
 }
 
-// reportFree sends a load report with the number of free circuits of the group to an exchange.
+// reportFree reports to the controller how many circuits of the group to an exchange are free.
 func (b *testBench) reportFree(number int, circuits float32) {
 	b.Helper()
 	b.handle(Sampled{Switch: uint32(100 + number), Code: OK, Report: []float32{circuits, 60, -1, -1}})
@@ -410,7 +410,7 @@
 func TestWarmUpKeepsColdExchangeBelowOverload(t *testing.T) {
 	s := settings()
 	b := newBench(t, s)
-	// Before the restart ten calls a second are established, spread over three far exchanges.
+	// Before the restart, ten calls a second are established, spread over three far exchanges.
 	for i := 0; i < 300; i++ {
 		r := b.offer(1 + i%3)
 		b.establish(r, uint32(101+i%3))
@@ -746,7 +746,7 @@
 }
 
 // FuzzHandle checks that no order of events makes the controller panic, breaks a rule that testBench checks, or sends an
-// attempt of an unknown call.
+// attempt for an unknown call.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7})
 	f.Add([]byte{0, 0, 0, 33, 2, 9, 2, 18, 6, 6, 5, 0, 12, 1, 250, 251})
@@ -913,7 +913,7 @@
 	for i := 0; i < 100; i++ {
 		r := b.offer(1 + i%3)
 		for p := 1; p < 4; p++ {
-			b.controller.exchanges[p].gap = gap{} // the gaps of the far exchanges must not do it
+			b.controller.exchanges[p].gap = gap{} // removed: only the local gap may limit the set-ups here
 		}
 		if b.attempts[r] > 0 {
 			b.endAttempt(r, b.lastSwitch[r], Full, NoteProcessor)
@@ -1293,7 +1293,7 @@
 	}
 }
 
-// Calls for the local exchange come here while another agent is away. No direct group leads to it, so they go over a tandem.
+// Calls for the local exchange arrive here when another agent is down. No direct group leads to it, so they go over a tandem.
 // A call in transit has been over a tandem already and is refused.
 func TestCallsForLocalExchange(t *testing.T) {
 	b := newBench(t, settings())
--- a/interface.go
+++ b/interface.go
@@ -116,7 +116,7 @@
 	NoteCrankback      = 2  // a tandem returned the call, since it could not route it further
 	NoteProcessor      = 3  // the processor is overloaded or, with NotAttempted, the local one is down
 	NoteBusy           = 4  // the called line is busy
-	NoteLinkLost       = 5  // the connection broke during the attempt, which tells nothing of the exchange
+	NoteLinkLost       = 5  // the connection broke during the attempt, which says nothing of the exchange
 	NoteOverloadBeyond = 16 // added to NoteCrankback: the processor beyond the tandem was full
 )
 
