--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -559,7 +559,7 @@
 	return tinbeam.Gone
 }
 
-// Report passes an unsolicited report of the state of a circuit group to the decision module.
+// Report passes an unsolicited load report, the state of a circuit group, to the decision module.
 func (c *Core) Report(id uint32, report []float32) {
 	c.Metrics.Reports.Inc()
 	c.notify(tinbeam.Sampled{Switch: id, Code: tinbeam.OK, Report: report})
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -31,8 +31,8 @@
 	return x
 }
 
-// Loop runs the core and the state of all front ends on a single goroutine: it has a queue of events, filled by callbacks,
-// and a heap of timers. Only this goroutine touches that state, so none of it is locked.
+// Loop runs the core and the handlers of all front ends on a single goroutine: it has a queue of events, filled by callbacks,
+// and a heap of timers. Only this goroutine touches their state, so none of it is locked.
 type Loop struct {
 	clock  func() time.Duration
 	now    time.Duration
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,5 @@
-// Package link has the connection object for all TCP streams of the agent. netpoll reads, one goroutine for each connection
-// writes, and a Handler is called with received data and when the connection ends. No goroutine is started for a single
-// message.
+// Package link provides the connection type for all TCP streams of the agent. netpoll reads, one goroutine for each connection
+// writes, and a Handler is called with received data and when the connection ends. No goroutine is started per message.
 package link
 
 import (
@@ -41,10 +40,10 @@
 )
 
 // Withdraw prevents the message from being written, and reports whether it was still in time.
-func (t *SendHandle) Withdraw() bool { return t.state.CompareAndSwap(waiting, withdrawn) }
+func (h *SendHandle) Withdraw() bool { return h.state.CompareAndSwap(waiting, withdrawn) }
 
 // Written reports whether the message has been handed to the kernel.
-func (t *SendHandle) Written() bool { return t.state.Load() == written }
+func (h *SendHandle) Written() bool { return h.state.Load() == written }
 
 // Handler receives the events of a connection. Data consumes complete messages from the start of b and returns the number
 // of bytes consumed; if it returns an error, the connection is closed after the queued messages have been written. Closed
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -190,7 +190,7 @@
 // confirmed the release.
 func (s *Callers) OpenCalls() int { return len(s.legs) }
 
-// callerConn is one connection. Its methods Data and Closed run outside the event loop; they post to it and change nothing
+// callerConn is one connection. Its methods Data and Closed run outside the core's loop; they post to it and change nothing
 // but the counts of queued messages.
 type callerConn struct {
 	callers       *Callers
@@ -284,8 +284,8 @@
 // SetReady records that the agent can accept calls: from now on health checks pass.
 func (s *Callers) SetReady() {
 	s.ready = true
-	for _, t := range s.heldHealthChecks {
-		t()
+	for _, answer := range s.heldHealthChecks {
+		answer()
 	}
 	s.heldHealthChecks = nil
 }
@@ -618,15 +618,15 @@
 }
 
 // Refuse notifies the caller that its call was refused or has failed, and when to retry if the settings allow that.
-func (s *Callers) Refuse(k *agent.Call, failed bool, pause time.Duration) {
+func (s *Callers) Refuse(k *agent.Call, failed bool, retryAfter time.Duration) {
 	leg := k.Leg.(*callLeg)
 	s.finish(k.ID)
 	status, reason := 503, "Service Unavailable"
 	var more []sip.Header
 	if failed {
 		status, reason = 500, "Server Internal Error"
-	} else if pause > 0 {
-		seconds := (pause + time.Second - 1) / time.Second
+	} else if retryAfter > 0 {
+		seconds := (retryAfter + time.Second - 1) / time.Second
 		more = append(more, sip.Header{Name: "Retry-After", Value: strconv.Itoa(int(seconds))})
 	}
 	leg.conn.send(leg.invite.Response(status, reason, "", more...))
--- a/internal/platform/changelog_client.go
+++ b/internal/platform/changelog_client.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// Data parses frames and posts each event to the loop.
+// Data parses frames and posts each event to the core's loop.
 func (c *changeLogConn) Data(_ *link.Conn, b []byte) (int, error) {
 	used := 0
 	for {
--- a/internal/platform/farends.go
+++ b/internal/platform/farends.go
@@ -28,7 +28,7 @@
 	extraConnDelay      = 400 * time.Millisecond // idle time with a set-up pending before an extra connection is opened
 	sweepInterval       = 250 * time.Millisecond
 	healthCheckDelay    = 2 * time.Second // idle time of a far end with attempts or calls before a health check
-	unresponsiveTimeout = 5 * time.Second // then it has failed: its calls must be released within 8 s of its end
+	unresponsiveTimeout = 5 * time.Second // idle time that means failure: its calls must be released within 8 s of its end
 	maxQueuedReleases   = 1024            // releases kept for a far end that cannot be reached
 )
 
@@ -62,7 +62,7 @@
 	checkSentAt    map[string]time.Duration  // send times of the check lines without an answer, by UID
 }
 
-// farConn is one connection. Its methods Data and Closed run outside the event loop and only post to it.
+// farConn is one connection. Its methods Data and Closed run outside the core's loop and only post to it.
 type farConn struct {
 	farEnd      *farEnd
 	link        *link.Conn
@@ -72,7 +72,7 @@
 	missedStates int
 	missLimitAt  time.Duration
 	pending      int       // set-ups on it that have no answer yet
-	groupState   []float32 // the group's last state received here
+	groupState   []float32 // the last state of the circuit group received here
 }
 
 // attemptLeg is this front end's state of an attempt, kept in Attempt.Leg.
@@ -83,8 +83,8 @@
 	expiry  *agent.Timer // runs while the attempt waits for a connection
 }
 
-// NewFarEnds returns the far-end side. onReady is called once for each far end outside the local exchange,
-// when it becomes ready for calls.
+// NewFarEnds returns the far-end side. onReady is called once for each far end outside the local exchange, when the state of
+// its circuit group was received or no connection to it could be opened.
 func NewFarEnds(core *agent.Core, log *zap.Logger, dialTimeout time.Duration, onReady func()) *FarEnds {
 	if dialTimeout <= 0 {
 		dialTimeout = 500 * time.Millisecond
@@ -338,7 +338,7 @@
 	return c.link.Send((&farend.Message{Kind: farend.Check, UID: uid}).Append(nil), nil)
 }
 
-// dial opens a connection if there are fewer than limit. It dials outside the event loop and posts the result.
+// dial opens a connection if there are fewer than limit. It dials outside the core's loop and posts the result.
 func (x *farEnd) dial(limit int) {
 	f := x.farEnds
 	if len(f.byID) > singleConnAbove {
