--- a/controller.go
+++ b/controller.go
@@ -902,8 +902,8 @@
 		case note == NoteLinkLost: // says nothing of the exchange; the next set-up uses another connection
 		case event.Code == Failed:
 			// An error is an answer, and some calls get errors at every exchange. If errors counted as
-			// missing answers, a few such calls would block a healthy exchange, and after its recovery its gap
-			// would still be active.
+			// missing answers, a few such calls would block a healthy exchange, and after its recovery its
+			// gap would still be active.
 			call.erred = true
 			if exchange != nil {
 				c.markAnswered(exchange)
--- a/controller_test.go
+++ b/controller_test.go
@@ -1315,7 +1315,7 @@
 	}
 }
 
-// A new machine that serves an exchange number starts without what was learnt of the last one, whose switch ID is
+// A new machine that serves an exchange number starts without what was learnt about the last one, whose switch ID is
 // forgotten.
 func TestNewMachineAtExchangeNumber(t *testing.T) {
 	b := newBench(t, settings())
--- a/internal/platform/callers.go
+++ b/internal/platform/callers.go
@@ -659,7 +659,8 @@
 }
 
 // sendBye sends a BYE on the connection of the call's set-up. If that is closed it takes the connection of the highest rank above
-// rankCheckOnly, and of these the most recently active one, but the one that carried the BYE last only if there is no other.
+// rankCheckOnly, and of these the most recently active one. The connection that carried the BYE last is passed over: if it is
+// open and there is no other, the BYE stays assigned to it and is not sent again.
 func (s *Callers) sendBye(leg *callLeg) {
 	if c := leg.conn; !c.closed && c.link.Send(leg.bye, nil) {
 		leg.byeConn = c
--- a/internal/platform/farends.go
+++ b/internal/platform/farends.go
@@ -220,7 +220,7 @@
 }
 
 // clearPending stops counting a set-up as pending on its connection. Established calls belong to no connection and do not
-// count: a stalled connection would have none pending, and be chosen for every next set-up.
+// count: a stalled connection has none of them, and would be chosen for every next set-up if they did.
 func (l *attemptLeg) clearPending() {
 	if l.pending {
 		l.pending = false
